--- a/pebbledrift/console/explain.py
+++ b/pebbledrift/console/explain.py
@@ -74,7 +74,7 @@
         return Explanation(404, (f"no route of host {question.host!r} has a prefix that begins {path!r}",))
     steps = [f"route {route.name!r}: the longest prefix {route.prefix!r} that begins {path!r}"]
     tenant = table.tenant_of(question.api_key) if question.api_key else None
-    if table.with_tenants and tenant is None and not route.public:
+    if table.has_tenants and tenant is None and not route.public:
         why = "no key" if question.api_key is None else "an unknown key"
         return Explanation(401, (*steps, f"the route is not public, and the request has {why}"), route.name)
     steps.append(_tenant_step(table, route, tenant.name if tenant is not None else ""))
@@ -91,13 +91,13 @@
 
 
 def _tenant_step(table: RoutingTable, route: Route, name: str) -> str:
-    if not table.with_tenants:
+    if not table.has_tenants:
         return "the configuration has no tenants: no key is asked for"
     if not name:
         return "the route is public: no key is needed"
     tenant = table.tenants[name]
     priority = route.priority if tenant.priority is None else tenant.priority
-    unit = "tokens" if tenant.in_tokens else "requests"
+    unit = "tokens" if tenant.counts_tokens else "requests"
     quota = f"{tenant.rate:g} {unit} a second, burst {tenant.burst:g}" if tenant.limited else "no quota"
     return f"tenant {name!r}: {quota}, priority {priority}"
 
--- a/pebbledrift/router/__init__.py
+++ b/pebbledrift/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router: takes clients' requests and carries them to workers."""
+"""The router: accepts requests from clients and forwards them to workers."""
--- a/pebbledrift/router/admitted.py
+++ b/pebbledrift/router/admitted.py
@@ -1,4 +1,4 @@
-"""A request once it is admitted: what its flow and its attempts go by."""
+"""The data of a request that its flow and its attempts use."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @record
 class Admitted:
-    """A request that is to be carried out."""
+    """A request that matched a route and passed authentication, where the route requires it."""
 
-    name: str
+    name: str  # unique within this process; not the client's request id
     message: Message
     route: Route
     tenant: Tenant | None
-    strip_key: bool
+    strip_key: bool  # remove the API key before the request goes to a worker
     deadline: float  # loop time
-    key: int | None
+    key: int | None  # routing key of the prompt's prefix
     prompt_tokens: float | None
-    output_tokens: float | None  # the most that the client wants
-    arrived: float  # loop time of its last byte
+    output_tokens: float | None  # maximum that the client asks for
+    arrived: float  # loop time at which its last byte was received
--- a/pebbledrift/router/control.py
+++ b/pebbledrift/router/control.py
@@ -1,4 +1,4 @@
-"""The router's connections to keepers and other routers, as its place in the relay tree asks for them."""
+"""The router's control connections: to keepers and other routers, by its position in the relay tree."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ControlLinks:
-    """Dials uplinks, accepts children, and has a socket for gossip once the router has started."""
+    """Connects to uplinks, accepts children, and opens a gossip socket once the router has started."""
 
     def __init__(self, boot: BootSettings, incarnation: int, owner: RelayOwner) -> None:
         self._loop = asyncio.get_running_loop()
@@ -31,11 +31,11 @@
         self.node = RelayNode(self._settings(), owner, self._send, self._loop.time())
         self._dialers: dict[str, Dialer] = {}
         self._server: asyncio.Server | None = None
-        self._service: GossipService | None = None
-        self._opening: asyncio.Task[None] | None = None
+        self._gossip_service: GossipService | None = None
+        self._gossip_task: asyncio.Task[None] | None = None
         self._closed = False
         self._timer = self._loop.call_later(TICK_S, self._tick)
-        self._follow()
+        self._update_dialers()
 
     def _settings(self) -> RelaySettings:
         boot, port = self._boot, self._boot.port_range[0]
@@ -45,10 +45,10 @@
         )
 
     def reload(self, boot: BootSettings) -> None:
-        """The settings have changed: other contacts may be named."""
+        """Apply changed settings, which may name other contacts."""
         self._boot = boot
         self.node.settings = self._settings()
-        self._follow()
+        self._update_dialers()
 
     def _hello(self) -> Hello:
         boot = self._boot
@@ -61,71 +61,71 @@
 
     def _tick(self) -> None:
         self._timer = self._loop.call_later(TICK_S, self._tick)
-        self._follow()
-        if self._service is not None:
-            self._service.gossip.tick(self._loop.time())
+        self._update_dialers()
+        if self._gossip_service is not None:
+            self._gossip_service.gossip.tick(self._loop.time())
 
-    def _follow(self) -> None:
-        """Have the connections that the node wants, and no others."""
+    def _update_dialers(self) -> None:
+        """Open the connections that the relay node needs and close all others."""
         if self._closed:
-            return  # the end of a connection must not begin another in a loop that ends
+            return  # a lost connection must not open another one while the event loop shuts down
         wanted = self.node.tick(self._loop.time())
-        for name in [name for name in self._dialers if name not in wanted]:
-            self._dialers.pop(name).close()
-        for name in sorted(wanted - self._dialers.keys()):
-            self._dialers[name] = Dialer(parse_address(name, "uplink"), self._hello, self)
+        for address in [address for address in self._dialers if address not in wanted]:
+            self._dialers.pop(address).close()
+        for address in sorted(wanted - self._dialers.keys()):
+            self._dialers[address] = Dialer(parse_address(address, "uplink"), self._hello, self)
 
-    # connections that we make
+    # outgoing connections
 
     def opened(self, channel: Channel) -> None:
-        """An uplink can be reached."""
+        """Handle a new connection to an uplink."""
         log.info("uplink reached", extra={"peer": channel.address})
         self.node.outgoing_opened(channel.address, self._loop.time())
 
     def closed(self, channel: Channel) -> None:
-        """An uplink cannot be reached any more."""
+        """Handle the loss of a connection to an uplink."""
         if channel.address not in self._dialers:
-            return  # we gave it up
+            return  # this router closed it
         log.info("uplink lost", extra={"peer": channel.address})
         self.node.outgoing_closed(channel.address, self._loop.time())
-        self._loop.call_soon(self._follow)
+        self._loop.call_soon(self._update_dialers)
 
     def received(self, channel: Channel, message: Any) -> None:
-        """An uplink tells something."""
+        """Handle a message from an uplink."""
         if channel.address in self._dialers:
             self.node.outgoing_received(channel.address, message, self._loop.time())
 
-    # connections that others make
+    # incoming connections
 
     async def serve(self) -> None:
-        """Accept children."""
-        self._server = await serve(self._address, _Children(self.node))
+        """Listen for connections from children."""
+        self._server = await serve(self._address, _IncomingConnections(self.node))
 
     def started(self) -> None:
-        """The router serves: what its start need not wait for begins now."""
-        self._opening = self._loop.create_task(self._open_gossip())
+        """Start what is not needed before the router serves requests: gossip."""
+        self._gossip_task = self._loop.create_task(self._open_gossip())
 
     async def _open_gossip(self) -> None:
         from pebbledrift.overlay.endpoint import open_gossip
         from pebbledrift.overlay.sampling import PeerDescriptor
 
         settings = self.node.settings
-        own = PeerDescriptor(settings.address, settings.zone, False, 0)
+        own_descriptor = PeerDescriptor(settings.address, settings.zone, False, 0)
         keepers = self.node.follower.keepers(self._loop.time())
-        known = {**dict.fromkeys(settings.contacts, ""), **keepers}
-        contacts = [PeerDescriptor(address, zone, True, 0) for address, zone in known.items()]
-        service = await open_gossip(self._address, own, contacts, self._rumored)
+        zones = {**dict.fromkeys(settings.contacts, ""), **keepers}
+        contacts = [PeerDescriptor(address, zone, True, 0) for address, zone in zones.items()]
+        service = await open_gossip(self._address, own_descriptor, contacts, self._gossip_received)
         if service is not None:
-            self._service = service
+            self._gossip_service = service
             self.node.peers, self.node.spread = service.relays, service.gossip.spread
 
-    def _rumored(self, instances: tuple[Instance, ...]) -> None:
+    def _gossip_received(self, instances: tuple[Instance, ...]) -> None:
         self.node.follower.merge(instances, self._loop.time())
 
-    # calls
+    # requests to keepers
 
     def ask(self, request: TokenRequest) -> bool:
-        """Ask the keeper that lends."""
+        """Send a token request to the keeper that lends. Returns False if none is known."""
         lender = self.node.lender()
         if lender is None:
             return False
@@ -133,21 +133,21 @@
         return True
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections and stop all timers."""
         self._closed = True
         self._timer.cancel()
         for dialer in self._dialers.values():
             dialer.close()
         if self._server is not None:
             self._server.close()
-        if self._opening is not None:
-            self._opening.cancel()
-        if self._service is not None:
-            self._service.endpoint.close()
+        if self._gossip_task is not None:
+            self._gossip_task.cancel()
+        if self._gossip_service is not None:
+            self._gossip_service.endpoint.close()
 
 
-class _Children:
-    """Listens on the connections that other routers make to us."""
+class _IncomingConnections:
+    """Passes events of the connections that other routers open to this one on to the relay node."""
 
     def __init__(self, node: RelayNode) -> None:
         self._node = node
--- a/pebbledrift/router/exposition.py
+++ b/pebbledrift/router/exposition.py
@@ -1,4 +1,4 @@
-"""A router's figures as text for scrapers; imported when they are asked for."""
+"""A router's metrics in the text exposition format. Imported only when the metrics are first requested."""
 
 from __future__ import annotations
 
@@ -6,47 +6,47 @@
 
 from pebbledrift.cluster.exposition import Family, Sample, gauge, render
 from pebbledrift.router.cuts import CutCounts
-from pebbledrift.router.metrics import LIMITS_S, Histogram, RouteFigures, RouterMetrics
+from pebbledrift.router.metrics import BUCKET_LIMITS_S, Histogram, RouteMetrics, RouterMetrics
 from spoolpier.records import record
 
 
 @record
 class RouterGauges:
-    """Where a router stands now."""
+    """Current values of a router's gauges."""
 
     ready: bool
     revision: int
     epoch: int
     uplinks: int
     children: int
-    clients: int
+    clients: int  # open connections
 
 
-def exposition(metrics: RouterMetrics, now: RouterGauges) -> str:
-    """All figures."""
-    return render([*_gauges(now), *_counters(metrics), *_cuts(metrics.cuts), *_histograms(metrics)])
+def exposition(metrics: RouterMetrics, gauges: RouterGauges) -> str:
+    """Returns all metrics as text."""
+    return render([*_gauges(gauges), *_counters(metrics), *_cuts(metrics.cuts), *_histograms(metrics)])
 
 
-def _gauges(now: RouterGauges) -> list[Family]:
+def _gauges(values: RouterGauges) -> list[Family]:
     return [
-        gauge("pebbledrift_ready", "Whether new connections may come.", float(now.ready)),
-        gauge("pebbledrift_config_revision", "Version of the configuration in force.", now.revision),
-        gauge("pebbledrift_view_epoch", "Newest view of the keepers that was told.", now.epoch),
-        gauge("pebbledrift_uplinks", "Nodes that tell this router.", now.uplinks),
-        gauge("pebbledrift_children", "Routers that this router tells.", now.children),
-        gauge("pebbledrift_client_connections", "Open connections of clients.", now.clients),
+        gauge("pebbledrift_ready", "Whether new connections may come.", float(values.ready)),
+        gauge("pebbledrift_config_revision", "Version of the configuration in force.", values.revision),
+        gauge("pebbledrift_view_epoch", "Newest view of the keepers that was told.", values.epoch),
+        gauge("pebbledrift_uplinks", "Nodes that tell this router.", values.uplinks),
+        gauge("pebbledrift_children", "Routers that this router tells.", values.children),
+        gauge("pebbledrift_client_connections", "Open connections of clients.", values.clients),
     ]
 
 
 def _counters(metrics: RouterMetrics) -> Iterator[Family]:
-    by_route = {name: figures.outcomes for name, figures in metrics.routes.items()}
-    for name, label, counted in (
+    by_route = {name: route.outcomes for name, route in metrics.routes.items()}
+    for name, label, outcomes_by_key in (
         ("pebbledrift_requests_total", "route", by_route),
         ("pebbledrift_tenant_requests_total", "tenant", metrics.tenants),
     ):
         samples = [
             Sample(count, {label: key, "outcome": outcome.value})
-            for key, outcomes in counted.items()
+            for key, outcomes in outcomes_by_key.items()
             for outcome, count in outcomes.items()
         ]
         yield Family(name, "counter", f"Requests that ended, by {label}.", tuple(samples))
@@ -60,28 +60,28 @@
 
 
 def _histograms(metrics: RouterMetrics) -> Iterator[Family]:
-    kinds: tuple[tuple[str, str, Callable[[RouteFigures], Histogram]], ...] = (
-        ("pebbledrift_wait_seconds", "From a request's last byte to its first send.", lambda f: f.waits),
+    histograms: tuple[tuple[str, str, Callable[[RouteMetrics], Histogram]], ...] = (
+        ("pebbledrift_wait_seconds", "From a request's last byte to its first send.", lambda m: m.waits),
         (
             "pebbledrift_first_event_seconds",
             "From there to the first event or the answer.",
-            lambda f: f.first,
+            lambda m: m.first,
         ),
-        ("pebbledrift_pause_seconds", "Between parts of a stream.", lambda f: f.pauses),
+        ("pebbledrift_pause_seconds", "Between parts of a stream.", lambda m: m.pauses),
     )
-    for name, text, choose in kinds:
+    for name, help_text, select in histograms:
         samples = [
             sample
-            for route, figures in metrics.routes.items()
-            for sample in _histogram_samples(route, choose(figures))
+            for route, route_metrics in metrics.routes.items()
+            for sample in _histogram_samples(route, select(route_metrics))
         ]
-        yield Family(name, "histogram", text, tuple(samples))
+        yield Family(name, "histogram", help_text, tuple(samples))
 
 
 def _histogram_samples(route: str, histogram: Histogram) -> Iterator[Sample]:
-    count = 0
-    for limit, part in zip((*map(str, LIMITS_S), "+Inf"), histogram.counts, strict=True):
-        count += part
-        yield Sample(count, {"route": route, "le": limit}, "_bucket")
+    cumulative = 0
+    for limit, count in zip((*map(str, BUCKET_LIMITS_S), "+Inf"), histogram.counts, strict=True):
+        cumulative += count
+        yield Sample(cumulative, {"route": route, "le": limit}, "_bucket")
     yield Sample(histogram.total, {"route": route}, "_sum")
-    yield Sample(count, {"route": route}, "_count")
+    yield Sample(cumulative, {"route": route}, "_count")
--- a/pebbledrift/router/flow.py
+++ b/pebbledrift/router/flow.py
@@ -18,7 +18,7 @@
 from pebbledrift.router.metrics import NO_TENANT, Histogram, Outcome, RouterMetrics
 from pebbledrift.router.pools import WorkerPools
 from pebbledrift.router.retries import RetryBudget
-from pebbledrift.router.routes import PRIORITY_MOST
+from pebbledrift.router.routes import MAX_PRIORITY
 from pebbledrift.router.upstream import WorkerPool
 from spoolpier.interface import OutcomeKind
 
@@ -77,8 +77,8 @@
 
     def submit(self) -> None:
         """Let the module place the request."""
-        self._pools.began(self._placement)
-        self._budget.note_request(self._loop.time())
+        self._pools.request_arrived(self._placement)
+        self._budget.record_request(self._loop.time())
         left_ms = max(1.0, (self.admitted.deadline - self._loop.time()) * 1000.0)
         self._placement.submit(self.admitted.name, self, self.admitted.route, self.admitted.key, left_ms)
 
@@ -101,7 +101,7 @@
     def _note_time(self, histogram: Histogram) -> None:
         """Count the time since the last note."""
         now = self._loop.time()
-        histogram.note(now - self._since)
+        histogram.observe(now - self._since)
         self._since = now
 
     def cancel(self, attempt: int) -> None:
@@ -145,7 +145,7 @@
             self._finish_with(Outcome.FAILED, 504, {})
         else:
             self.refuse(RETRY_AFTER_MS)
-        self._placement.gone(self.admitted.name)
+        self._placement.client_gone(self.admitted.name)
 
     # the client
 
@@ -157,7 +157,7 @@
             ours = self.client.end_reason == SHUTDOWN
             self._note_cut(CutCause.SHUTDOWN if ours else CutCause.CLIENT)
         self._end(Outcome.CLIENT_GONE)
-        self._placement.gone(self.admitted.name)
+        self._placement.client_gone(self.admitted.name)
 
     def client_slow(self, paused: bool) -> None:
         """The client reads slowly, or goes on: the worker's answer waits with it."""
@@ -167,12 +167,12 @@
     def _end(self, outcome: Outcome) -> None:
         self._over = True
         tenant = self.admitted.tenant
-        self._metrics.ended(self.admitted.route.name, tenant.name if tenant else NO_TENANT, outcome)
+        self._metrics.record_outcome(self.admitted.route.name, tenant.name if tenant else NO_TENANT, outcome)
         self._timer.cancel()
         if self._attempt is not None:
             self._attempt.cancel()  # one that is still out is of no use: its worker is told at once
-        self._pools.ended(self._placement)
-        self._placement.end(self.admitted.name)
+        self._pools.request_ended(self._placement)
+        self._placement.remove(self.admitted.name)
 
     def _finish_with(
         self, outcome: Outcome, status: int, headers: Mapping[str, str], body: bytes = b""
@@ -215,7 +215,7 @@
     def _report(
         self, attempt: int, instance: Instance, kind: OutcomeKind, elapsed_ms: float, done: bool
     ) -> None:
-        self._placement.outcome(self.admitted.name, attempt, instance, kind, elapsed_ms, done)
+        self._placement.attempt_ended(self.admitted.name, attempt, instance, kind, elapsed_ms, done)
 
     def may_write(self, instance: Instance) -> bool:
         """Judged right before the write: client, time and instance."""
@@ -242,12 +242,12 @@
     def _priority(self) -> int:
         admitted = self.admitted
         own = admitted.tenant.priority if admitted.tenant is not None else None
-        return max(0, min(PRIORITY_MOST, admitted.route.priority if own is None else own))
+        return max(0, min(MAX_PRIORITY, admitted.route.priority if own is None else own))
 
     def attempt_started(self, attempt: Attempt) -> None:
         """The first event or the whole answer has come."""
         self._note_time(self._figures.first)
-        self._placement.started(
+        self._placement.attempt_started(
             self.admitted.name, attempt.number, attempt.instance, streamed=self.admitted.route.streaming
         )
 
@@ -275,7 +275,7 @@
 
     def _note_run_time(self) -> None:
         admitted = self.admitted
-        self._figures.run_times.note(admitted.output_tokens, self._loop.time() - admitted.arrived)
+        self._figures.run_times.record(admitted.output_tokens, self._loop.time() - admitted.arrived)
 
     def stream_complete(self, attempt: Attempt) -> None:
         """The stream is whole, if it does not end within an event."""
--- a/pebbledrift/router/placement.py
+++ b/pebbledrift/router/placement.py
@@ -1,7 +1,8 @@
-"""The decision module at work for one service: requests become its jobs, its actions are carried out.
+"""Chooses workers for the requests of one service with the scheduler `spoolpier.Dispatcher`.
 
-All that happens is told to `spoolpier.Dispatcher` once a turn of the event loop; workers and jobs go by the
-module's own numbers and names.
+Each request becomes a job of the dispatcher, and the dispatcher's actions are executed on the requests.
+Events are collected and passed to the dispatcher once per iteration of the event loop. The dispatcher
+identifies workers by number and jobs by name.
 """
 
 from __future__ import annotations
@@ -20,22 +21,22 @@
 
 log = logging.getLogger(__name__)
 
-CLASSES_MOST = 4096
-NO_CLASS = api.JobClass(aim_ms=1000.0, deadline_ms=1000.0)
+MAX_CLASSES = 4096  # job classes of one service; requests beyond these use the fallback class
+FALLBACK_CLASS = api.JobClass(aim_ms=1000.0, deadline_ms=1000.0)
 RETRY_AFTER_MS = 100.0
 
 
-class Placed(Protocol):
-    """A request that waits for a worker or is with one."""
+class PlacedRequest(Protocol):
+    """A request that waits for a worker or runs on one."""
 
     def send(self, attempt: int, instance: Instance) -> None:
-        """Begin an attempt at a worker."""
+        """Start an attempt on a worker."""
 
     def cancel(self, attempt: int) -> None:
-        """Give an attempt up."""
+        """Abandon an attempt."""
 
     def refuse(self, retry_after_ms: float) -> None:
-        """Answer that the request was not run and may come again."""
+        """Answer that the request did not run and may be retried after this delay."""
 
     def fail(self) -> None:
         """Answer that the request failed."""
@@ -43,21 +44,26 @@
 
 @dataclass(slots=True)
 class _Job:
-    request: Placed
+    """A request, and how many attempts were started for it."""
+
+    request: PlacedRequest
     attempts: int = 0
 
 
 class Placement:
-    """The requests of one service that have no final answer yet."""
+    """Schedules the requests of one service that have no final answer yet.
+
+    `first_limit` is the initial limit of concurrent requests per worker. Times are in milliseconds.
+    """
 
     def __init__(
-        self, dispatchers: int, me: int, is_model: bool, seed: int, first_limit: float = 1.0
+        self, dispatchers: int, dispatcher_index: int, is_model: bool, seed: int, first_limit: float = 1.0
     ) -> None:
         self._loop = asyncio.get_running_loop()
         settings = api.Settings(
-            classes=(NO_CLASS,),
-            dispatchers=max(dispatchers, me + 1),
-            me=me,
+            classes=(FALLBACK_CLASS,),
+            dispatchers=max(dispatchers, dispatcher_index + 1),
+            me=dispatcher_index,
             max_attempts=4,
             may_cancel=True,
             tells_start=is_model,
@@ -65,31 +71,31 @@
             first_limit=max(1.0, first_limit),
         )
         self._dispatcher = Dispatcher(settings, seed)
-        self._classes: dict[api.JobClass, int] = {NO_CLASS: 0}
-        self._numbers: dict[str, int] = {}
+        self._classes: dict[api.JobClass, int] = {FALLBACK_CLASS: 0}
+        self._worker_numbers: dict[str, int] = {}
         self._instances: dict[int, Instance] = {}
         self._jobs: dict[str, _Job] = {}
         self._events: list[api.Event] = []
-        self._due = False
-        self._wake: asyncio.TimerHandle | None = None
-        self._wake_at = 0.0
+        self._step_scheduled = False
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at = 0.0
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
 
-    def tell(self, event: api.Event) -> None:
-        """Have the module hear of something in this turn of the loop."""
+    def enqueue(self, event: api.Event) -> None:
+        """Queue an event for the dispatcher; all queued events are processed in the loop's next callback."""
         self._events.append(event)
-        if not self._due:
-            self._due = True
+        if not self._step_scheduled:
+            self._step_scheduled = True
             self._loop.call_soon(self._step)
 
     def _step(self) -> None:
-        self._due = False
+        self._step_scheduled = False
         events, self._events = self._events, []
         for action in self._dispatcher.step(self._now_ms(), events):
             if isinstance(action, api.Wake):
-                self._set_wake(action.at_ms / 1000.0)
+                self._set_timer(action.at_ms / 1000.0)
             else:
                 self._act_on_job(action)
 
@@ -98,13 +104,13 @@
         if job is None:
             return
         try:
-            self._carry_out(action, job)
+            self._execute(action, job)
         except Exception:
-            # the step's other actions are for other requests: one that fails may not take theirs with it
+            # A step returns actions for many requests: a failure with one must not lose the others' actions.
             log.exception("request failed")
             job.request.fail()
 
-    def _carry_out(self, action: api.Action, job: _Job) -> None:
+    def _execute(self, action: api.Action, job: _Job) -> None:
         if isinstance(action, api.Send):
             number, job.attempts = job.attempts, job.attempts + 1
             job.request.send(number, self._instances[action.worker])
@@ -115,85 +121,100 @@
         elif isinstance(action, api.Fail):
             job.request.fail()
 
-    def _set_wake(self, at: float) -> None:
-        if self._wake is not None and not self._wake.cancelled() and self._loop.time() < self._wake_at <= at:
+    def _set_timer(self, at: float) -> None:
+        """Run the dispatcher at this time of the loop's clock, unless it runs earlier anyway."""
+        if (
+            self._timer is not None
+            and not self._timer.cancelled()
+            and self._loop.time() < self._timer_at <= at
+        ):
             return
-        if self._wake is not None:
-            self._wake.cancel()
-        self._wake_at = at
-        self._wake = self._loop.call_at(at, self._woken)
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_at = at
+        self._timer = self._loop.call_at(at, self._timer_expired)
 
-    def _woken(self) -> None:
-        self._wake = None
-        self.tell(api.Timer(0))
+    def _timer_expired(self) -> None:
+        self._timer = None
+        self.enqueue(api.Timer(0))
 
     # workers
 
-    def follow(self, instances: Iterable[Instance]) -> None:
-        """The workers of the service as they are known now."""
+    def update_instances(self, instances: Iterable[Instance]) -> None:
+        """Replace the list of workers of the service; only ready instances get requests."""
         entries = [
-            api.WorkerEntry(worker=self._number(instance), weight=float(instance.slots))
+            api.WorkerEntry(worker=self._worker_number(instance), weight=float(instance.slots))
             for instance in instances
             if instance.state == InstanceState.READY
         ]
-        self.tell(api.WorkerList(api.ListForm.FULL, tuple(entries)))
+        self.enqueue(api.WorkerList(api.ListForm.FULL, tuple(entries)))
+
+    def _worker_number(self, instance: Instance) -> int:
+        """Returns the dispatcher's number of an instance, and registers the instance under it.
 
-    def _number(self, instance: Instance) -> int:
-        """The module's number of an instance: alike at all routers, so they prefer the same for a key."""
-        number = self._numbers.get(instance.id)
+        All routers use the same number, so they prefer the same worker for a routing key.
+        """
+        number = self._worker_numbers.get(instance.id)
         if number is None:
             number = stable_number(instance.id)
             while number in self._instances:
                 number += 1
-            self._numbers[instance.id] = number
+            self._worker_numbers[instance.id] = number
         self._instances[number] = instance
         return number
 
-    def failing(self) -> set[str]:
-        """Ids of the instances that failed here of late and get nothing now."""
+    def failing_instances(self) -> set[str]:
+        """Returns the ids of instances that failed recently at this router and get no requests now."""
         numbers = self._dispatcher.left_alone(self._now_ms())
         return {self._instances[number].id for number in numbers if number in self._instances}
 
-    def forget(self, instance: Instance) -> None:
-        """An instance has ended and nothing of ours is with it any more."""
-        number = self._numbers.pop(instance.id, None)
+    def forget_instance(self, instance: Instance) -> None:
+        """Remove an instance that has ended and runs no request of this router."""
+        number = self._worker_numbers.pop(instance.id, None)
         if number is not None:
             self._instances.pop(number, None)
 
     # requests
 
-    def submit(self, name: str, request: Placed, route: Route, key: int | None, left_ms: float) -> None:
-        """Take a request in."""
+    def submit(
+        self, name: str, request: PlacedRequest, route: Route, key: int | None, left_ms: float
+    ) -> None:
+        """Schedule a request.
+
+        `name` identifies it within this process, `key` is its routing key, and `left_ms` is the time until
+        its deadline.
+        """
         self._jobs[name] = _Job(request)
-        self.tell(api.Arrival(name, self._class_of(route), grace_ms=left_ms, key=key))
+        self.enqueue(api.Arrival(name, self._class_of(route), grace_ms=left_ms, key=key))
 
     def _class_of(self, route: Route) -> int:
-        wanted = api.JobClass(
-            aim_ms=route.aim_ms,
+        """Returns the index of the route's job class, and registers a new class with the dispatcher."""
+        job_class = api.JobClass(
+            aim_ms=route.target_latency_ms,
             deadline_ms=max(1.0, route.timeout_ms),
             effect=api.Effect.SAFE if route.idempotent else api.Effect.UNSAFE,
             priority=route.priority,
             streamed=route.streaming,
             max_runs=route.max_attempts,
         )
-        number = self._classes.get(wanted)
+        number = self._classes.get(job_class)
         if number is None:
-            if len(self._classes) >= CLASSES_MOST:
+            if len(self._classes) >= MAX_CLASSES:
                 return 0
-            number = self._classes[wanted] = len(self._classes)
-            self.tell(api.ClassesAdded((wanted,)))
+            number = self._classes[job_class] = len(self._classes)
+            self.enqueue(api.ClassesAdded((job_class,)))
         return number
 
-    def started(self, name: str, attempt: int, instance: Instance, streamed: bool) -> None:
-        """The first event of an answer has come."""
-        worker = self._numbers.get(instance.id)
+    def attempt_started(self, name: str, attempt: int, instance: Instance, streamed: bool) -> None:
+        """Report that the first event of an answer, or a whole answer, was received."""
+        worker = self._worker_numbers.get(instance.id)
         if worker is None:
             return
-        self.tell(api.Note(name, attempt, worker, api.Progress.STARTED))
+        self.enqueue(api.Note(name, attempt, worker, api.Progress.STARTED))
         if streamed:
-            self.tell(api.StreamStarted(name, attempt, worker))
+            self.enqueue(api.StreamStarted(name, attempt, worker))
 
-    def outcome(
+    def attempt_ended(
         self,
         name: str,
         attempt: int,
@@ -202,19 +223,19 @@
         elapsed_ms: float,
         done: bool,
     ) -> None:
-        """An attempt has ended."""
-        worker = self._numbers.get(instance.id, -1)
-        self.tell(api.Outcome(name, attempt, worker, kind, elapsed_ms, done))
+        """Report how an attempt ended. `done`: the request needs no further attempt."""
+        worker = self._worker_numbers.get(instance.id, -1)
+        self.enqueue(api.Outcome(name, attempt, worker, kind, elapsed_ms, done))
 
-    def gone(self, name: str) -> None:
-        """The client has left."""
-        self.tell(api.ClientGone(name))
+    def client_gone(self, name: str) -> None:
+        """Report that the client no longer waits for the request."""
+        self.enqueue(api.ClientGone(name))
 
-    def end(self, name: str) -> None:
-        """The request has its final answer."""
+    def remove(self, name: str) -> None:
+        """Remove a request that has its final answer."""
         self._jobs.pop(name, None)
 
 
 def stable_number(instance: str) -> int:
-    """The number of an instance, the same in every process."""
+    """Returns the number of an instance id: 48 bits of its hash, the same in every process."""
     return int.from_bytes(hashlib.blake2b(instance.encode(), digest_size=6).digest())
--- a/pebbledrift/router/readiness.py
+++ b/pebbledrift/router/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness address: 200 while the platform may hand new connections to this router; and its figures."""
+"""The readiness endpoint: 200 while the platform may send new connections to this router; and its metrics."""
 
 from __future__ import annotations
 
@@ -8,37 +8,40 @@
 from pebbledrift.bounds import Limits
 from pebbledrift.net.http import HttpError, HttpProtocol, Message, response
 
-PATH = "/-/ready"
+READY_PATH = "/-/ready"
 METRICS_PATH = "/-/metrics"
 
 
-class Standing(Protocol):
-    """Whoever is asked."""
+class StatusSource(Protocol):
+    """Supplies the state that is served."""
 
     def ready(self) -> bool:
-        """Whether new connections may come."""
+        """Whether the router accepts new connections."""
 
     def exposition(self) -> str:
-        """All figures as text."""
+        """Returns all metrics in the text exposition format."""
 
 
 class ReadinessConnection(HttpProtocol):
-    """Answers the platform's question. It takes a request a second: a library server's threads cost more."""
+    """Serves the readiness check (200: the router takes new connections, 503: it does not) and the metrics.
 
-    def __init__(self, limits: Limits, standing: Standing) -> None:
+    About one request per second arrives, so this needs no HTTP server library, whose threads cost more.
+    """
+
+    def __init__(self, limits: Limits, status_source: StatusSource) -> None:
         super().__init__(limits, request=True)
-        self._standing = standing
+        self._status_source = status_source
 
     def message_received(self, message: Message) -> None:
         path, body = message.second.partition("?")[0], b""
-        if path not in (PATH, METRICS_PATH):
+        if path not in (READY_PATH, METRICS_PATH):
             status = 404
         elif message.first not in ("GET", "HEAD"):
             status = 405
-        elif path == PATH:
-            status = 200 if self._standing.ready() else 503
+        elif path == READY_PATH:
+            status = 200 if self._status_source.ready() else 503
         else:
-            status, body = 200, self._standing.exposition().encode()
+            status, body = 200, self._status_source.exposition().encode()
         self._write(status, message.keep_alive, body if message.first == "GET" else b"")
 
     def malformed(self, error: HttpError) -> None:
@@ -52,7 +55,7 @@
                 self.transport.close()
 
 
-async def serve(address: tuple[str, int], limits: Limits, standing: Standing) -> asyncio.Server:
-    """Listen at the readiness address."""
+async def serve(address: tuple[str, int], limits: Limits, status_source: StatusSource) -> asyncio.Server:
+    """Listen on the readiness address."""
     loop = asyncio.get_running_loop()
-    return await loop.create_server(lambda: ReadinessConnection(limits, standing), *address)
+    return await loop.create_server(lambda: ReadinessConnection(limits, status_source), *address)
--- a/pebbledrift/router/routes.py
+++ b/pebbledrift/router/routes.py
@@ -1,4 +1,4 @@
-"""The configuration as a router uses it: which route a request takes, whose key it bears."""
+"""The routing table of a router: maps requests to routes and services, and API keys to tenants."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from spoolpier.records import record
 
-DEFAULT_AIM_MS = 1000.0
-PRIORITY_MOST, PRIORITY_DEFAULT = 9, 5
+DEFAULT_TARGET_LATENCY_MS = 1000.0
+MAX_PRIORITY, DEFAULT_PRIORITY = 9, 5  # a lower number is more urgent
 
 
 @record
 class Route:
-    """One route."""
+    """One route of the configuration: requests of a host whose path starts with a prefix."""
 
     name: str
     hostname: str
     prefix: str
     kind: str  # safe, unsafe or streaming
     timeout_ms: float
-    aim_ms: float
+    target_latency_ms: float
     priority: int
-    backends: tuple[tuple[str, float], ...]  # with their weights
+    backends: tuple[tuple[str, float], ...]  # names of services and their weights
     max_attempts: int
     public: bool
     affinity: bool
@@ -40,7 +40,7 @@
         return self.kind == "streaming"
 
     def backend_for(self, request_id: str) -> str:
-        """The service of one request: drawn by weight, the same wherever the request comes again."""
+        """Returns the service for a request: chosen by weight from a hash of its id, the same on a retry."""
         if len(self.backends) == 1:
             return self.backends[0][0]
         digest = hashlib.blake2b(request_id.encode(), digest_size=6).digest()
@@ -54,26 +54,26 @@
 
 @record
 class Tenant:
-    """One tenant, and what its requests count against its quota."""
+    """One tenant and its quota, in requests or tokens per second."""
 
     name: str
     priority: int | None
-    limited: bool
+    limited: bool  # whether it has a quota
     rate: float
     burst: float
-    in_tokens: bool
-    uncached_tokens: float
+    counts_tokens: bool
+    uncached_tokens: float  # cost of a request that declares no token count
 
     def cost(self, tokens: float | None) -> float:
-        """What one request counts."""
-        if not self.in_tokens:
+        """Returns the cost of a request against the quota; `tokens` is None if it declares none."""
+        if not self.counts_tokens:
             return 1.0
         return self.uncached_tokens if tokens is None else tokens
 
 
 @record
 class Backend:
-    """One service."""
+    """One service that requests are routed to."""
 
     name: str
     max_connections: int
@@ -83,7 +83,7 @@
 
 @record
 class ClientLimits:
-    """What clients may send, and for how long."""
+    """Limits on the size and the duration of clients' requests."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -92,7 +92,7 @@
 
 
 class RoutingTable:
-    """One configuration, read for routing. Never changed: the next configuration makes another."""
+    """One configuration, indexed for routing. It is immutable: each configuration gets a new table."""
 
     def __init__(self, config: Mapping[str, Any]) -> None:
         self.revision = int(config["revision"])
@@ -102,10 +102,10 @@
             self.routes.setdefault(route.hostname, []).append(route)
         for routes in self.routes.values():
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
-        self.most_urgent = min((r.priority for rs in self.routes.values() for r in rs), default=0)
+        self.most_urgent_priority = min((r.priority for rs in self.routes.values() for r in rs), default=0)
         self.backends = {item["name"]: _backend(item) for item in config["backends"]}
         self.limits = _limits(config.get("limits") or {})
-        self.with_tenants = config.get("tenants") is not None
+        self.has_tenants = config.get("tenants") is not None
         self.tenants: dict[str, Tenant] = {}
         self._by_key: dict[str, Tenant] = {}
         for item in config.get("tenants") or []:
@@ -114,15 +114,15 @@
             self._by_key.update(dict.fromkeys(item["api-keys"], tenant))
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix that begins the path."""
-        name = host.partition(":")[0].lower()
-        for route in self.routes.get(name, ()):
+        """Returns the route of a host with the longest prefix of the path, or None."""
+        hostname = host.partition(":")[0].lower()
+        for route in self.routes.get(hostname, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def tenant_of(self, key: str) -> Tenant | None:
-        """The tenant that holds a key."""
+        """Returns the tenant that owns an API key, or None."""
         return self._by_key.get(key)
 
 
@@ -138,8 +138,8 @@
         prefix=item["path-prefix"],
         kind=item["route-type"],
         timeout_ms=float(item["timeout-ms"]),
-        aim_ms=float(item.get("target-latency-ms") or DEFAULT_AIM_MS),
-        priority=int(item.get("priority", PRIORITY_DEFAULT)),
+        target_latency_ms=float(item.get("target-latency-ms") or DEFAULT_TARGET_LATENCY_MS),
+        priority=int(item.get("priority", DEFAULT_PRIORITY)),
         backends=backends,
         max_attempts=int(item.get("max-attempts", 1)),
         public=bool(item.get("public", False)),
@@ -164,7 +164,7 @@
         limited=rate > 0,
         rate=rate,
         burst=float(item.get("burst") or 0.0),
-        in_tokens=item.get("unit") == "tokens",
+        counts_tokens=item.get("unit") == "tokens",
         uncached_tokens=float(item.get("uncached-tokens") or 0.0),
     )
 
--- a/pebbledrift/router/run_times.py
+++ b/pebbledrift/router/run_times.py
@@ -1,34 +1,34 @@
-"""How long requests of a route take, by the tokens that they declare: an upper estimate for the next one."""
+"""Estimates an upper bound on the run time of a route's next request from recent requests."""
 
 from __future__ import annotations
 
 import math
 from collections import deque
 
-SAMPLES = 64
-SAMPLES_LEAST = 16  # fewer say too little of the slowest
-MARGIN = 1.5  # over the slowest of them: a worker that has become slower since must still be in time
+MAX_SAMPLES = 64
+MIN_SAMPLES = 16  # with fewer samples the slowest one is not a reliable bound
+MARGIN = 1.5  # factor over the slowest sample, so that a worker that has slowed down since still meets it
 
 
 class RunTimes:
-    """The latest run times of a route, in seconds for each token that a request may be answered with."""
+    """The latest run times of a route, in seconds per output token that the request declared."""
 
     __slots__ = ("_paces",)
 
     def __init__(self) -> None:
-        self._paces: deque[float] = deque(maxlen=SAMPLES)
+        self._paces: deque[float] = deque(maxlen=MAX_SAMPLES)
 
-    def note(self, tokens: float | None, seconds: float) -> None:
-        """A request that declared so many tokens was served in so long."""
-        self._paces.append(seconds / _units(tokens))
+    def record(self, tokens: float | None, seconds: float) -> None:
+        """Record the run time of a served request that declared this number of output tokens."""
+        self._paces.append(seconds / _effective_tokens(tokens))
 
     def estimate(self, tokens: float | None) -> float:
-        """A time that the next request will hardly exceed, in seconds; infinite where too little is known."""
-        if len(self._paces) < SAMPLES_LEAST:
+        """Returns the seconds that the next request is unlikely to exceed; infinite with too few samples."""
+        if len(self._paces) < MIN_SAMPLES:
             return math.inf
-        return MARGIN * max(self._paces) * _units(tokens)
+        return MARGIN * max(self._paces) * _effective_tokens(tokens)
 
 
-def _units(tokens: float | None) -> float:
-    """Requests that declare nothing are taken to be of one length."""
+def _effective_tokens(tokens: float | None) -> float:
+    """Returns the declared tokens, or 1: requests that declare none are assumed to be equally long."""
     return max(1.0, tokens or 0.0)
--- a/pebbledrift/router/service.py
+++ b/pebbledrift/router/service.py
@@ -27,7 +27,7 @@
 from pebbledrift.router.pools import WorkerPools
 from pebbledrift.router.retries import RetryBudget
 from pebbledrift.router.routes import Backend, ClientLimits, Route, RoutingTable, Tenant
-from pebbledrift.router.tokens import TokenPurse
+from pebbledrift.router.tokens import TokenBudgets
 from pebbledrift.router.upstream import WorkerPool
 from pebbledrift.signals import hold_sighup
 
@@ -54,7 +54,7 @@
         self.control = ControlLinks(boot, secrets.randbits(53), self)
         self.follower = self.control.node.follower
         bounds = boot.bounds
-        self.purse = TokenPurse(self, QuotaWindow(bounds.quota_window_s, bounds.quota_overshoot))
+        self.purse = TokenBudgets(self, QuotaWindow(bounds.quota_window_s, bounds.quota_overshoot))
         self.metrics = RouterMetrics()
         self.pool = WorkerPool(_upstream_limits())
         self.pools: dict[str, WorkerPools] = {}
@@ -159,7 +159,7 @@
         self.limits = _parser_limits(table.limits)
         self.purse.configure(table.tenants.values())
         routes = (route.name for routes in table.routes.values() for route in routes)
-        self.metrics.follow(routes, table.tenants)
+        self.metrics.retain(routes, table.tenants)
         bounds = self.boot.bounds
         for name, backend in table.backends.items():
             if name not in self.pools:
@@ -184,7 +184,7 @@
             if instance.backend in by_backend and instance.id not in self._mismatched:
                 by_backend[instance.backend].append(instance)
         for name, instances in by_backend.items():
-            self.pools[name].follow(instances)
+            self.pools[name].update_instances(instances)
 
     def granted(self, grant: TokenGrant) -> None:
         """The keeper that lends has answered."""
@@ -237,9 +237,9 @@
         if route is None:
             client.answer(404, {}, b"")
             return None
-        key = request.api_key(message) if table.with_tenants else None
+        key = request.api_key(message) if table.has_tenants else None
         tenant = table.tenant_of(key) if key is not None else None
-        if table.with_tenants and tenant is None and not route.public:
+        if table.has_tenants and tenant is None and not route.public:
             client.answer(401, {}, b"")
             return None
         wait_ms = min(request.deadline_ms(message), route.timeout_ms)
@@ -249,7 +249,7 @@
             message=message,
             route=route,
             tenant=tenant,
-            strip_key=table.with_tenants,
+            strip_key=table.has_tenants,
             deadline=client.arrived + wait_ms / 1000.0,  # waiting behind others on the connection counts
             key=prompt.key() if prompt is not None else None,
             prompt_tokens=None if prompt is None else prompt.tokens_in,
@@ -295,7 +295,7 @@
                 client.owner = pending.flow
             else:
                 pending.gone = True
-                self.metrics.ended(admitted.route.name, name, Outcome.OVER_QUOTA)
+                self.metrics.record_outcome(admitted.route.name, name, Outcome.OVER_QUOTA)
                 client.answer(429, {"Retry-After": f"{retry_after:.3f}"}, b"")
 
         urgent = admitted.route.priority <= self._most_urgent()
@@ -305,7 +305,7 @@
         return pending.flow or pending
 
     def _most_urgent(self) -> int:
-        return self.table.most_urgent if self.table is not None else 0
+        return self.table.most_urgent_priority if self.table is not None else 0
 
     def _start(self, client: ClientConnection, admitted: Admitted) -> RequestFlow | None:
         name = self._backend(admitted.route, admitted.message)
@@ -338,7 +338,7 @@
 
     def _share_load(self) -> None:
         """Tell what runs here, and divide the workers by what runs everywhere."""
-        loads = {name: pools.load() for name, pools in self.pools.items() if pools.divides}
+        loads = {name: pools.load() for name, pools in self.pools.items() if pools.is_divisible}
         self.control.node.report_load(loads)
         if self.table is not None:
             bounds = [b.max_connections for b in self.table.backends.values() if b.max_connections]
--- a/pebbledrift/router/tokens.py
+++ b/pebbledrift/router/tokens.py
@@ -1,4 +1,8 @@
-"""A router's part of the tenants' quotas: tokens lent by a keeper, or a fixed share without it."""
+"""Token quotas of tenants at one router.
+
+A keeper lends parts of each tenant's quota to the routers. Without a reachable keeper, each router limits
+the tenant locally at a rate that it estimates.
+"""
 
 from __future__ import annotations
 
@@ -12,30 +16,30 @@
 from pebbledrift.overlay.messages import TokenGrant, TokenReport, TokenRequest
 from pebbledrift.router.routes import Tenant
 
-LOAN_S = 1.5  # what was lent and not used by then is void
-ASK_S = 0.12  # a loan that takes longer is not waited for
-AHEAD_S = 0.25  # of its own demand, a router borrows for so long ahead
-DEMAND_SHARE = 0.1  # weight of a new second in the demand
-DENIED_MOST_S = 1.0
-RETRY_LEAST_S = 0.05  # told at least, where a request is refused
-SMALL_PART = 0.2  # a request that costs less than this part of the tenant's average is small
-AVERAGE_STEP = 0.05  # weight of one more request in that average
-FALLBACK_BURST_S = 0.3  # without a keeper, what so much time brings may be saved up
-FALLBACK_LEAST = 0.25  # of its equal part, a router takes so much at least
+LOAN_VALIDITY_S = 1.5  # the unused rest of a loan expires after this time
+LENDER_TIMEOUT_S = 0.12  # wait for the keeper's answer; after this the router decides locally
+BORROW_AHEAD_S = 0.25  # a router borrows its own expected demand for this time in advance
+DEMAND_WEIGHT = 0.1  # four times this share of the demand average is replaced each second
+MAX_DENIED_S = 1.0  # cap on a denial's retry delay (a quarter of it is cached) and on local retry delays
+MIN_RETRY_AFTER_S = 0.05  # lower limit of the retry delay in a refusal
+SMALL_COST_SHARE = 0.2  # a request that costs less than this share of the tenant's average cost is small
+AVERAGE_COST_WEIGHT = 0.05  # weight of each new request in that average
+FALLBACK_BURST_S = 0.3  # without a keeper, a tenant can save up the tokens of this time
+MIN_FALLBACK_SHARE = 0.25  # minimum rate without a keeper, as a share of the router's equal part
 
 
 class Lender(Protocol):
-    """Reaches the keeper that lends."""
+    """Sends requests to the keeper that lends tokens."""
 
     def ask(self, request: TokenRequest) -> bool:
-        """Send a request; False where no keeper that acts is known."""
+        """Send a request. Returns False if no acting keeper is known."""
 
     def routers(self) -> int:
-        """How many routers there are."""
+        """Returns the number of routers in the fleet."""
 
 
 class _Denial(NamedTuple):
-    """A cost that was denied, and until when it need not be asked for again."""
+    """A denied cost: requests of at least this cost are not sent to the keeper before `until`."""
 
     cost: float
     until: float
@@ -45,212 +49,238 @@
 
 
 @dataclass(slots=True)
-class _Wallet:
-    """What is lent to us of one tenant's quota."""
+class _TenantBudget:
+    """The tokens of one tenant's quota that are lent to this router, and the tenant's demand here."""
 
     tenant: Tenant
-    taken: SpendingHistory
+    spending: SpendingHistory
     balance: float = 0.0
-    void_at: float = 0.0
+    expires_at: float = 0.0  # loop time at which the balance becomes void
     denied: dict[LoanPriority, _Denial] = field(default_factory=dict)
     average_cost: float = 0.0
-    demand: float = 0.0  # tokens a second asked of us, of late
-    demand_at: float = 0.0
-    fallback: Bucket | None = None
+    demand: float = 0.0  # moving average of the tokens per second that requests need at this router
+    demand_at: float = 0.0  # loop time of the last update of `demand`
+    fallback: Bucket | None = None  # the local limit while no keeper answers
 
     def priority(self, cost: float, urgent: bool) -> LoanPriority:
-        """Which requests this one goes before where the quota runs out."""
-        if cost < SMALL_PART * self.average_cost:
+        """Returns the priority of a request for a loan; it matters when the quota runs out."""
+        if cost < SMALL_COST_SHARE * self.average_cost:
             return LoanPriority.SMALL
         return LoanPriority.URGENT if urgent else LoanPriority.ORDINARY
 
-    def wait(self, cost: float, priority: LoanPriority, now: float) -> float:
-        """How long a request of this cost need not ask: as much was denied just now."""
+    def denied_for(self, cost: float, priority: LoanPriority, now: float) -> float:
+        """Returns the seconds for which an earlier denial still covers a request of this cost.
+
+        Zero or less means that the request may be sent to the keeper.
+        """
         denial = self.denied.get(priority, _NO_DENIAL)
         return denial.until - now if cost >= denial.cost else 0.0
 
     def deny(self, cost: float, priority: LoanPriority, now: float, retry_after_s: float) -> None:
-        """Remember that so much was denied; what is denied to some is denied to all that go behind them."""
-        denial = _Denial(cost, now + min(retry_after_s, DENIED_MOST_S) / 4)
-        for behind in LoanPriority:
-            if behind >= priority:
-                self.denied[behind] = denial
-
-    def note(self, cost: float, now: float) -> None:
-        """Follow the demand: an average over some seconds."""
+        """Remember a denial, for this priority and for all lower ones."""
+        denial = _Denial(cost, now + min(retry_after_s, MAX_DENIED_S) / 4)
+        for lower in LoanPriority:
+            if lower >= priority:
+                self.denied[lower] = denial
+
+    def record_demand(self, cost: float, now: float) -> None:
+        """Update the averages of the demand and of the cost of a request."""
         if self.demand_at:
-            self.demand *= max(0.0, 1.0 - DEMAND_SHARE * (now - self.demand_at) * 4.0)
-        self.demand += cost * DEMAND_SHARE * 4.0
+            self.demand *= max(0.0, 1.0 - DEMAND_WEIGHT * (now - self.demand_at) * 4.0)
+        self.demand += cost * DEMAND_WEIGHT * 4.0
         self.demand_at = now
-        known = self.average_cost or cost
-        self.average_cost = known + AVERAGE_STEP * (cost - known)
+        previous = self.average_cost or cost
+        self.average_cost = previous + AVERAGE_COST_WEIGHT * (cost - previous)
 
 
 @dataclass(slots=True)
-class _Waiting:
-    wallet: _Wallet
+class _PendingRequest:
+    """A request that waits for the keeper to answer its loan request."""
+
+    budget: _TenantBudget
     cost: float
     priority: LoanPriority
-    decided: Callable[[float | None], None]
+    on_decision: Callable[[float | None], None]
     timer: asyncio.TimerHandle | None = field(default=None)
 
 
-class TokenPurse:
-    """Takes what requests cost, or says after how long to come back."""
+class TokenBudgets:
+    """Charges requests to the quotas of their tenants, or returns a retry delay.
+
+    `random_fraction` returns random numbers from 0 to 1. Times are in seconds of the event loop's clock.
+    """
 
     def __init__(
-        self, lender: Lender, window: QuotaWindow | None = None, draw: Callable[[], float] = random.random
+        self,
+        lender: Lender,
+        window: QuotaWindow | None = None,
+        random_fraction: Callable[[], float] = random.random,
     ) -> None:
-        self._lender, self._draw = lender, draw
+        self._lender, self._random_fraction = lender, random_fraction
         self._window = window or QuotaWindow()
         self._loop = asyncio.get_running_loop()
-        self._wallets: dict[str, _Wallet] = {}
-        self._waiting: dict[int, _Waiting] = {}
-        self._ahead: dict[int, _Wallet] = {}
-        self._number = 0
+        self._budgets: dict[str, _TenantBudget] = {}
+        self._pending: dict[int, _PendingRequest] = {}  # by number of the loan request
+        self._advances: dict[int, _TenantBudget] = {}  # loans requested in advance, by number
+        self._last_number = 0
         self._epoch = 0
         self._started = self._loop.time()
 
     def configure(self, tenants: Iterable[Tenant]) -> None:
-        """Follow a configuration."""
-        wallets = {}
+        """Apply the tenants of a new configuration. Budgets of tenants that remain keep their state."""
+        budgets = {}
         for tenant in tenants:
             if tenant.limited:
-                wallet = self._wallets.get(tenant.name) or self._open(tenant)
-                if wallet.tenant.rate != tenant.rate:
-                    wallet.fallback, wallet.balance = None, min(wallet.balance, tenant.rate * AHEAD_S)
-                wallet.tenant = tenant
-                wallets[tenant.name] = wallet
-        self._wallets = wallets
+                budget = self._budgets.get(tenant.name) or self._new_budget(tenant)
+                if budget.tenant.rate != tenant.rate:
+                    budget.fallback, budget.balance = None, min(budget.balance, tenant.rate * BORROW_AHEAD_S)
+                budget.tenant = tenant
+                budgets[tenant.name] = budget
+        self._budgets = budgets
 
-    def _open(self, tenant: Tenant) -> _Wallet:
-        return _Wallet(tenant, SpendingHistory(self._window.remembered_s))
+    def _new_budget(self, tenant: Tenant) -> _TenantBudget:
+        return _TenantBudget(tenant, SpendingHistory(self._window.remembered_s))
 
     def report(self, epoch: int) -> TokenReport:
-        """What was taken of the quotas lately: a keeper that begins to lend cannot know it."""
+        """Returns the recent spending of each tenant: a keeper that begins to lend has no record of it."""
         now = self._loop.time()
-        taken = [(name, wallet.taken.slots(now)) for name, wallet in self._wallets.items()]
-        return TokenReport(epoch, now - self._started, tuple(taken))
+        spending = [(name, budget.spending.slots(now)) for name, budget in self._budgets.items()]
+        return TokenReport(epoch, now - self._started, tuple(spending))
 
     def take(
-        self, tenant: Tenant, cost: float, urgent: bool, decided: Callable[[float | None], None]
+        self, tenant: Tenant, cost: float, urgent: bool, on_decision: Callable[[float | None], None]
     ) -> None:
-        """Take the cost of a request. `decided` gets None, or the seconds after which there may be enough.
+        """Charge the cost of a request to its tenant's quota.
 
-        Of a quota that runs out, parts are kept for small requests and for the most urgent ones.
+        `on_decision` is called at once or later: with None if the request may run, or with the seconds
+        after which the quota may suffice. When a quota runs out, the keeper reserves parts of it for small
+        requests and for the most urgent ones.
         """
-        wallet = self._wallets.get(tenant.name)
-        if wallet is None:
-            decided(None)
+        budget = self._budgets.get(tenant.name)
+        if budget is None:
+            on_decision(None)
             return
         now = self._loop.time()
-        wallet.note(cost, now)
-        priority = wallet.priority(cost, urgent)
-        if now >= wallet.void_at:
-            wallet.balance = 0.0
-        if wallet.balance >= cost:
-            wallet.balance -= cost
-            decided(None)
-            self._borrow_ahead(wallet, cost)
-        elif (wait := wallet.wait(cost, priority, now)) > 0:
-            decided(max(wait, RETRY_LEAST_S))
+        budget.record_demand(cost, now)
+        priority = budget.priority(cost, urgent)
+        if now >= budget.expires_at:
+            budget.balance = 0.0
+        if budget.balance >= cost:
+            budget.balance -= cost
+            on_decision(None)
+            self._borrow_ahead(budget, cost)
+        elif (wait := budget.denied_for(cost, priority, now)) > 0:
+            on_decision(max(wait, MIN_RETRY_AFTER_S))
         else:
-            self._borrow(wallet, cost, priority, decided)
+            self._borrow(budget, cost, priority, on_decision)
 
     def _borrow(
         self,
-        wallet: _Wallet,
+        budget: _TenantBudget,
         cost: float,
         priority: LoanPriority,
-        decided: Callable[[float | None], None],
+        on_decision: Callable[[float | None], None],
     ) -> None:
-        need = cost - wallet.balance
-        ahead = wallet.demand * AHEAD_S if priority == LoanPriority.ORDINARY else 0.0
-        number = self._ask(wallet, need, need + ahead, priority)
+        need = cost - budget.balance
+        ahead = budget.demand * BORROW_AHEAD_S if priority == LoanPriority.ORDINARY else 0.0
+        number = self._request_loan(budget, need, need + ahead, priority)
         if number is None:
-            self._fall_back(wallet, cost, decided)
+            self._decide_locally(budget, cost, on_decision)
             return
-        waiting = _Waiting(wallet, cost, priority, decided)
-        waiting.timer = self._loop.call_later(ASK_S, self._unanswered, number)
-        self._waiting[number] = waiting
-
-    def _borrow_ahead(self, wallet: _Wallet, cost: float) -> None:
-        want = wallet.demand * AHEAD_S
-        if wallet.balance < max(cost, want / 2) and not any(w is wallet for w in self._ahead.values()):
-            number = self._ask(wallet, cost, max(cost, want), LoanPriority.ORDINARY)
+        pending = _PendingRequest(budget, cost, priority, on_decision)
+        pending.timer = self._loop.call_later(LENDER_TIMEOUT_S, self._lender_timed_out, number)
+        self._pending[number] = pending
+
+    def _borrow_ahead(self, budget: _TenantBudget, cost: float) -> None:
+        """Request the expected demand in advance when the balance runs low; one such loan at a time."""
+        want = budget.demand * BORROW_AHEAD_S
+        if budget.balance < max(cost, want / 2) and not any(b is budget for b in self._advances.values()):
+            number = self._request_loan(budget, cost, max(cost, want), LoanPriority.ORDINARY)
             if number is not None:
-                self._ahead[number] = wallet
-                self._loop.call_later(LOAN_S, self._ahead.pop, number, None)
+                self._advances[number] = budget
+                self._loop.call_later(LOAN_VALIDITY_S, self._advances.pop, number, None)
 
-    def _ask(self, wallet: _Wallet, need: float, want: float, priority: LoanPriority) -> int | None:
-        self._number += 1
-        asked = self._lender.ask(TokenRequest(self._number, wallet.tenant.name, need, want, priority))
-        return self._number if asked else None
+    def _request_loan(
+        self, budget: _TenantBudget, need: float, want: float, priority: LoanPriority
+    ) -> int | None:
+        """Send a loan request. Returns its number, or None if no keeper can be reached."""
+        self._last_number += 1
+        sent = self._lender.ask(TokenRequest(self._last_number, budget.tenant.name, need, want, priority))
+        return self._last_number if sent else None
 
     def granted(self, grant: TokenGrant) -> None:
-        """The keeper has answered. One of an epoch that is over acts no more."""
-        waiting, ahead = self._waiting.pop(grant.number, None), self._ahead.pop(grant.number, None)
-        wallet = waiting.wallet if waiting is not None else ahead
-        if wallet is None:
+        """Handle the keeper's answer.
+
+        A grant of an earlier epoch, or of none, is not used: that keeper does not lend any more. The router
+        decides locally then.
+        """
+        pending, advance = self._pending.pop(grant.number, None), self._advances.pop(grant.number, None)
+        budget = pending.budget if pending is not None else advance
+        if budget is None:
             return
-        if waiting is not None and waiting.timer is not None:
-            waiting.timer.cancel()
+        if pending is not None and pending.timer is not None:
+            pending.timer.cancel()
         now = self._loop.time()
         if grant.epoch < self._epoch or grant.epoch == 0:
-            if waiting is not None:
-                self._fall_back(wallet, waiting.cost, waiting.decided)
+            if pending is not None:
+                self._decide_locally(budget, pending.cost, pending.on_decision)
             return
         self._epoch = grant.epoch
-        wallet.fallback = None
+        budget.fallback = None
         if grant.granted > 0:
-            wallet.balance += grant.granted
-            wallet.taken.add(grant.granted, now)
-            wallet.void_at = now + LOAN_S
+            budget.balance += grant.granted
+            budget.spending.add(grant.granted, now)
+            budget.expires_at = now + LOAN_VALIDITY_S
         else:
-            need = waiting.cost if waiting is not None else wallet.demand * AHEAD_S
-            priority = waiting.priority if waiting is not None else LoanPriority.ORDINARY
-            wallet.deny(need, priority, now, grant.retry_after_s)
-        if waiting is not None:
-            self._decide(waiting, grant.retry_after_s)
-
-    def _decide(self, waiting: _Waiting, retry_after: float) -> None:
-        wallet = waiting.wallet
-        if wallet.balance >= waiting.cost:
-            wallet.balance -= waiting.cost
-            waiting.decided(None)
+            need = pending.cost if pending is not None else budget.demand * BORROW_AHEAD_S
+            priority = pending.priority if pending is not None else LoanPriority.ORDINARY
+            budget.deny(need, priority, now, grant.retry_after_s)
+        if pending is not None:
+            self._decide(pending, grant.retry_after_s)
+
+    def _decide(self, pending: _PendingRequest, retry_after: float) -> None:
+        budget = pending.budget
+        if budget.balance >= pending.cost:
+            budget.balance -= pending.cost
+            pending.on_decision(None)
         else:
-            waiting.decided(max(retry_after, RETRY_LEAST_S))
+            pending.on_decision(max(retry_after, MIN_RETRY_AFTER_S))
 
-    def _unanswered(self, number: int) -> None:
-        waiting = self._waiting.pop(number, None)
-        if waiting is not None:
-            self._fall_back(waiting.wallet, waiting.cost, waiting.decided)
+    def _lender_timed_out(self, number: int) -> None:
+        pending = self._pending.pop(number, None)
+        if pending is not None:
+            self._decide_locally(pending.budget, pending.cost, pending.on_decision)
 
-    def _fall_back(self, wallet: _Wallet, cost: float, decided: Callable[[float | None], None]) -> None:
-        """Without a keeper: go on at the rate that this router had before."""
+    def _decide_locally(
+        self, budget: _TenantBudget, cost: float, on_decision: Callable[[float | None], None]
+    ) -> None:
+        """Decide without a keeper: continue at the rate that the tenant had at this router before."""
         now = self._loop.time()
-        if wallet.fallback is None:
-            # Many routers see each tenant seldom: with a level drawn evenly below the cost, as many requests
-            # pass at all of them together as the rate allows, though hardly any router saves up a whole one.
-            level = self._draw() * cost
-            wallet.fallback = Bucket(self._fallback_rate(wallet, now), cost, level, now)
-        bucket = wallet.fallback
+        if budget.fallback is None:
+            # With many routers, each one sees a tenant rarely and hardly ever saves up the cost of a whole
+            # request. An initial level drawn uniformly below the cost makes the number of requests that pass
+            # at all routers together match the rate.
+            level = self._random_fraction() * cost
+            budget.fallback = Bucket(self._fallback_rate(budget, now), cost, level, now)
+        bucket = budget.fallback
         bucket.burst = max(bucket.burst, cost, FALLBACK_BURST_S * bucket.rate)
         bucket.refill(now)
         if bucket.take(cost, cost):
-            wallet.taken.add(cost, now)
-            decided(None)
+            budget.spending.add(cost, now)
+            on_decision(None)
         else:
-            decided(max(RETRY_LEAST_S, min(bucket.wait_for(cost), DENIED_MOST_S)))
+            on_decision(max(MIN_RETRY_AFTER_S, min(bucket.wait_for(cost), MAX_DENIED_S)))
 
-    def _fallback_rate(self, wallet: _Wallet, now: float) -> float:
-        """What this router took of late: all of them together took what the quota allows.
+    def _fallback_rate(self, budget: _TenantBudget, now: float) -> float:
+        """Returns the local rate in tokens per second: what this router used recently.
 
-        One that has just started takes its equal part, and each a little of that to begin something new.
+        All routers together used at most what the quota allows, so their recent rates add up to it. A router
+        that started recently uses its equal part, and each router gets at least `MIN_FALLBACK_SHARE` of it
+        to serve tenants that are new to it.
         """
-        part = wallet.tenant.rate / max(1, self._lender.routers())
+        equal_part = budget.tenant.rate / max(1, self._lender.routers())
         age = now - self._started
         if age < self._window.span_s / 2:
-            return part
-        taken = wallet.taken.total(now) / min(age, self._window.remembered_s)
-        return max(min(taken, wallet.tenant.rate), FALLBACK_LEAST * part)
+            return equal_part
+        rate = budget.spending.total(now) / min(age, self._window.remembered_s)
+        return max(min(rate, budget.tenant.rate), MIN_FALLBACK_SHARE * equal_part)
--- a/tests/cluster/test_flow.py
+++ b/tests/cluster/test_flow.py
@@ -43,28 +43,28 @@
     def choose(self, prompt_tokens: float | None) -> Recorder:
         return self
 
-    def began(self, placement: object) -> None:
+    def request_arrived(self, placement: object) -> None:
         """Not counted."""
 
-    def ended(self, placement: object) -> None:
+    def request_ended(self, placement: object) -> None:
         """Not counted."""
 
     def submit(self, *request: object) -> None:
         """Placed by the test."""
 
-    def started(self, *attempt: object, streamed: bool) -> None:
+    def attempt_started(self, *attempt: object, streamed: bool) -> None:
         """Not noted."""
 
-    def outcome(
+    def attempt_ended(
         self, name: str, attempt: int, instance: Instance, kind: OutcomeKind, elapsed_ms: float, done: bool
     ) -> None:
         self.outcomes.append((attempt, kind))
         self.told.set()
 
-    def gone(self, name: str) -> None:
+    def client_gone(self, name: str) -> None:
         """Not noted."""
 
-    def end(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         self.told.set()
 
 
@@ -205,7 +205,7 @@
     async def scenario() -> None:
         placement = Placement(1, 0, False, 7, first_limit=8.0)
         body = {"backend": "lm", "address": "127.0.0.1:1", "state": "ready", "slots": 8}
-        placement.follow([parse_heartbeat("i-1", body)])
+        placement.update_instances([parse_heartbeat("i-1", body)])
         requests = [Asking(faulty=True), Asking(faulty=False)]
         for number, request in enumerate(requests):
             placement.submit(f"r-{number}", cast(Any, request), streaming_route(), None, 1000.0)
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from pebbledrift.router.run_times import SAMPLES_LEAST
+from pebbledrift.router.run_times import MIN_SAMPLES
 from rig.fleet import API_KEY, Fleet, Worker, example_config, wait_for
 
 pytestmark = pytest.mark.xdist_group("processes")
@@ -138,7 +138,7 @@
 
 
 def test_what_is_read_long_after_sigterm_is_refused_at_once(fleet: Fleet) -> None:
-    for _ in range(SAMPLES_LEAST):  # while leaving it goes by how long such requests take
+    for _ in range(MIN_SAMPLES):  # while leaving it goes by how long such requests take
         assert fleet.request(0, "/plain/x")[0] == 200
     fleet.workers[0].requests.clear()
     fleet.workers[0].event_pause_s = 1.2
