--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -91,7 +91,7 @@
 class Unheard:
     """In the engine's place: the cost of a step is measured elsewhere."""
 
-    def pool_changed(self, news: api.WorkerList) -> None:
+    def worker_list_changed(self, news: api.WorkerList) -> None:
         """Nothing."""
 
     def step_now(self) -> None:
@@ -108,13 +108,13 @@
 
     def whole() -> float:
         began = time.process_time()
-        pool.take(json.loads(text))
+        pool.apply_list(json.loads(text))
         return (time.process_time() - began) * 1000
 
     def one() -> float:
         began = time.process_time()
         for _ in range(100):
-            pool.take(json.loads(change))
+            pool.apply_list(json.loads(change))
         return (time.process_time() - began) * 1e4
 
     d = Dispatcher(config.settings, seed=1)
@@ -147,7 +147,7 @@
     config = Config("n0", settings(330, 10), Limits(), ("a", "b"), (), ("a",), ("m2",), seed=1)
     pool = PoolConfig(config, Clock())
     pool.engine = cast(Engine, Unheard())
-    pool.take({"rev": 1, "all": True, "targets": targets(workers)})
+    pool.apply_list({"rev": 1, "all": True, "targets": targets(workers)})
     d = Dispatcher(config.settings, seed=1)
     d.step(0.0, [api.WorkerList(api.ListForm.FULL, tuple(pool.entries.values()))])
     with open("/proc/self/statm") as file:
--- a/pebbledrift/core/__init__.py
+++ b/pebbledrift/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: operations, attempts, timers and the loop round the decisions. It knows no wire."""
+"""Operations, attempts, timers and the event loop around the decision module, independent of any protocol."""
--- a/pebbledrift/core/clock.py
+++ b/pebbledrift/core/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: wall time read once, then the monotonic clock, so that it never goes backwards."""
+"""The process clock: wall time read once at the start, then advanced by the monotonic clock."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class Clock:
-    """Milliseconds since the Unix epoch, as they were at the start.
+    """A clock in milliseconds since the Unix epoch that never goes backwards.
 
-    All spans of time are measured by `now_ms`. What has to agree with other machines uses `common_ms`.
+    Intervals are measured with `now_ms`. Times that must agree with other machines use `common_ms`.
     """
 
     def __init__(self, offset: float | None = None) -> None:
-        """`offset` is another process's: the processes of one node must agree on the time."""
+        """`offset` (seconds) comes from another process, because the processes of a node share one time."""
         self.offset = time.time() - time.monotonic() if offset is None else offset
 
     def now_ms(self) -> float:
-        """The time now; a step of the wall clock after the start does not show in it."""
+        """Returns the current time. Steps of the wall clock after the start do not affect it."""
         return (time.monotonic() + self.offset) * 1000.0
 
     def ahead_ms(self) -> float:
-        """How far the wall clock, which all machines read alike, is ahead of this one: it may be stepped."""
+        """Returns how far the wall clock is ahead of `now_ms`. It changes when the wall clock is stepped."""
         return self.common_ms() - self.now_ms()
 
     def common_ms(self) -> float:
-        """The wall clock, which all machines read alike. It may be stepped: no span is measured by it."""
+        """Returns the wall clock, which all machines share. It may be stepped, so it measures no interval."""
         return time.time() * 1000.0
--- a/pebbledrift/core/engine.py
+++ b/pebbledrift/core/engine.py
@@ -1,4 +1,4 @@
-"""The loop round the decisions: it owns operations, attempts, timers and the single final answer."""
+"""The event loop around the decision module. It owns operations, attempts, timers and final answers."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from pebbledrift import logs
 from pebbledrift.bounds import Limits
 from pebbledrift.core.clock import Clock
-from pebbledrift.core.figures import Figures
+from pebbledrift.core.figures import Counters
 from pebbledrift.core.model import (
-    TURN_LATE_MS,
+    MAX_SLICE_OVERRUN_MS,
     Answer,
     Attempt,
     Claim,
@@ -26,38 +26,38 @@
     Recipient,
     Verdict,
 )
-from pebbledrift.core.view import avoided, belief, why_held
+from pebbledrift.core.view import avoided_workers, hold_reasons, worker_summary
 from spoolpier import Dispatcher
 from spoolpier import interface as api
 from spoolpier.handover import adopt, job_state, learn, learned
 
 log = logging.getLogger(__name__)
 
-CLOCK_DRIFT_MS = 2.0  # the module is told of a wall clock that has moved by this
+CLOCK_REPORT_THRESHOLD_MS = 2.0  # a wall clock change of at least this is reported to the decision module
 
 
-class Nowhere:
-    """The destination of what a worker has that has left the list."""
+class UnreachableDestination:
+    """The destination of attempts at a worker that is no longer in the list."""
 
     def send(self, attempt: Attempt) -> None:
-        """Nothing is ever sent here."""
+        """Does nothing: the engine sends no attempt to such a worker."""
 
-    def cancel(self, attempt: Attempt, heard: Callable[[], None] | None = None) -> None:
-        """It cannot be reached any more, and so never hears of it."""
+    def cancel(self, attempt: Attempt, on_acknowledged: Callable[[], None] | None = None) -> None:
+        """Does nothing: the worker cannot be reached, so the cancellation is never acknowledged."""
 
     def probe(self) -> None:
-        """It cannot be reached any more."""
+        """Does nothing: the worker cannot be reached."""
 
-    def taken(self, attempt: Attempt) -> bool:
-        """It has been taken before."""
+    def accepted(self, attempt: Attempt) -> bool:
+        """Returns True: the worker accepted the attempt before it left the list."""
         return True
 
-    def recall(self) -> None:
-        """Nothing is under way."""
+    def withdraw_unsent(self) -> None:
+        """Does nothing: no attempt is waiting to be written."""
 
 
 class Engine:
-    """Turns what fronts and destinations report into events, and the module's actions into calls."""
+    """Turns reports of fronts and destinations into events, and the decision module's actions into calls."""
 
     def __init__(
         self,
@@ -72,67 +72,69 @@
         self.limits = limits
         self.clock = clock
         self.destinations = destinations
-        self.neighbours = neighbours  # None: this process is the whole node
+        self.neighbours = neighbours  # None if this process is the whole node
         self.observers: list[Observer] = []
-        # told of the end of each probe of this process
-        self.probe_heard: Callable[[int, bool, float, api.Report | None], None] = lambda *_: None
-        # told of the end of each attempt of this process
-        self.outcome_heard: list[Callable[[Attempt, api.OutcomeKind], None]] = []
-        # what the module is told before everything else whenever it decides
-        self.advisers: list[Callable[[], list[api.Event]]] = []
-        # told when the module has decided
-        self.decided: Callable[[], None] = lambda: None
-        # the limits of all nodes that an operation counts against (api.Allowance)
+        # called at the end of each probe by this process: worker, success, elapsed ms, load report
+        self.on_probe_result: Callable[[int, bool, float, api.Report | None], None] = lambda *_: None
+        # called at the end of each attempt of this process
+        self.outcome_listeners: list[Callable[[Attempt, api.OutcomeKind], None]] = []
+        # each returns events that precede all others in a step of the decision module
+        self.event_sources: list[Callable[[], list[api.Event]]] = []
+        # called after each step of the decision module
+        self.on_step: Callable[[], None] = lambda: None
+        # returns the fleet-wide limits that an operation counts against (api.Allowance)
         self.limits_of: Callable[[Operation], tuple[int, ...]] = lambda operation: ()
-        self.leased = False  # turns at cold workers are held under leases, which outlast no process
-        self.figures = Figures(len(settings.classes))
+        # Time slices at cold workers are held under leases. A lease does not outlive its process.
+        self.uses_slice_leases = False
+        self.counters = Counters(len(settings.classes))
         self.open: dict[str, Operation] = {}
-        self.elsewhere: set[str] = set()  # ids that are open at the process before this one
+        self.predecessor_ids: set[str] = set()  # ids that are open in the process that this one replaces
         self.held_bytes = 0
-        self._ahead_told = 0.0
-        self.ends_ms = math.inf  # a node that is told to end answers all it takes in before this
+        self._reported_ahead_ms = 0.0
+        self.shutdown_deadline_ms = math.inf  # every accepted operation is answered before this
         self._dispatcher = Dispatcher(settings, seed)
         self._recent: OrderedDict[str, None] = OrderedDict()
         self._events: list[api.Event] = []
-        self._last_step = -1e18
-        self._hearing = False  # a step is about to begin, and neighbours are heard first
+        self._last_step_ms = -1e18
+        self._reading_neighbours = False  # a step is starting and reads the neighbours' changes first
         self._step_timer: asyncio.TimerHandle | None = None
-        self._wakes: list[float] = []  # all that the module has asked for and not had yet
+        self._wakeups: list[float] = []  # heap of pending wake-up times requested by the decision module
         self._loop = asyncio.get_running_loop()
         self._idle: asyncio.Future[None] | None = None
-        self._turns_back: asyncio.TimerHandle | None = None
-        # guards cold workers: a process of this node that ended just now may have spent its part of this turn
-        self.pass_turns(1)
+        self._slice_timer: asyncio.TimerHandle | None = None
+        # Protects cold workers: another process of this node may have ended just before this one started,
+        # after spending its budget for the current time slice.
+        self.skip_time_slices(1)
 
-    # -- from the fronts
+    # -- called by the fronts
 
-    def knows(self, job: str) -> bool:
-        """Whether an id is open or was answered lately."""
-        return job in self.open or job in self._recent or job in self.elsewhere
+    def is_known(self, job: str) -> bool:
+        """Returns whether an id is open or was answered recently."""
+        return job in self.open or job in self._recent or job in self.predecessor_ids
 
     def submit(self, operation: Operation) -> None:
-        """Take an operation in, once for each id."""
-        if self.knows(operation.id):
-            # guards the owner's answer: whoever comes under its id has not had a request run
-            self._tell(operation, Answer(Verdict.FAILED, reason="id in use", in_use=True))
+        """Accepts an operation, at most once for each id; otherwise answers it immediately."""
+        if self.is_known(operation.id):
+            # Protects the answer of the operation that has the id: no request of this caller has run.
+            self._deliver(operation, Answer(Verdict.FAILED, reason="id in use", id_in_use=True))
             return
         size = len(operation.work.body)
         if not self.room_for(size):
-            # nothing of it has run: a busy reply is true whatever its class
+            # Nothing has run, so a busy reply is correct for every class.
             self.refuse(operation, "too many open")
             return
         if operation.expires_ms - self.clock.now_ms() <= self.limits.answer_margin_ms:
-            self._tell(operation, Answer(Verdict.REFUSED, b"", 0.0, "no time left"))
+            self._deliver(operation, Answer(Verdict.REFUSED, b"", 0.0, "no time left"))
             return
         if self.neighbours is not None:
             claim = self.neighbours.claim(operation.id)
             if claim is Claim.TAKEN:
-                self._tell(operation, Answer(Verdict.FAILED, reason="id in use", in_use=True))
+                self._deliver(operation, Answer(Verdict.FAILED, reason="id in use", id_in_use=True))
                 return
             if claim is Claim.NO_ROOM:
                 self.refuse(operation, "no room for its id")
                 return
-        operation.expires_ms = min(operation.expires_ms, self.ends_ms)
+        operation.expires_ms = min(operation.expires_ms, self.shutdown_deadline_ms)
         grace = self._enter(operation)
         if logs.traced():
             hint = operation.hint_ms or 0.0
@@ -141,33 +143,38 @@
         self._event(self._arrival(operation, grace))
 
     def refuse(self, operation: Operation, reason: str) -> None:
-        """A front has no place for an operation: nothing of it has run, and a busy reply is true."""
-        self._tell(operation, Answer(Verdict.REFUSED, b"", self.limits.busy_retry_ms, reason))
+        """Answers an operation that cannot be accepted with a busy reply. Nothing of it may have run."""
+        self._deliver(operation, Answer(Verdict.REFUSED, b"", self.limits.busy_retry_ms, reason))
 
     def recipient_gone(self, operation: Operation, recipient: Recipient) -> None:
-        """A client has left; the operation ends with its last recipient."""
+        """Removes a recipient that disconnected. An unanswered operation ends with its last recipient."""
         if recipient in operation.recipients:
             operation.recipients.remove(recipient)
         if operation.answer is None and not operation.recipients:
             self._finish(operation, Answer(Verdict.FAILED, reason="client gone"))
             self._event(api.ClientGone(operation.id))
 
-    def portable(self, operation: Operation) -> dict[str, Any] | None:
-        """What the module knows of an operation that can go on elsewhere; None where it cannot.
+    def export_state(self, operation: Operation) -> dict[str, Any] | None:
+        """Returns the decision module's state of an operation that another process can continue, else None.
 
-        It can where one attempt is out that the worker has taken: only its call-back is awaited.
+        It can be continued if exactly one attempt is open and its worker has accepted it, so that only the
+        callback is outstanding.
         """
-        out = [a for a in operation.attempts if a.open]
-        if operation.answer is not None or len(out) != 1 or not out[0].destination.taken(out[0]):
+        open_attempts = [a for a in operation.attempts if a.open]
+        if (
+            operation.answer is not None
+            or len(open_attempts) != 1
+            or not open_attempts[0].destination.accepted(open_attempts[0])
+        ):
             return None
         return job_state(self._dispatcher, operation.id)
 
     def release(self, operation: Operation) -> None:
-        """The operation has gone over to another process."""
+        """Drops an operation that another process has taken over."""
         if operation.timer is not None:
             operation.timer.cancel()
         del self.open[operation.id]
-        self.figures.current -= 1
+        self.counters.current -= 1
         self.held_bytes -= len(operation.work.body)
         for attempt in operation.attempts:
             if attempt.open:
@@ -179,36 +186,36 @@
                 self._event(api.Outcome(operation.id, number, worker, attempt.outcome, elapsed, True))
         self._wake_idle()
 
-    def adopt(self, operation: Operation, told: dict[str, Any]) -> None:
-        """Go on with an operation of the process before this one, as if it had been sent here."""
-        self.step_now()  # the module has to know the list, and the time
+    def adopt(self, operation: Operation, state: dict[str, Any]) -> None:
+        """Continues an operation of the process that this one replaces, from the state that it exported."""
+        self.step_now()  # the decision module needs the worker list and the time first
         grace = self._enter(operation)
-        adopt(self._dispatcher, self._arrival(operation, grace), told)
+        adopt(self._dispatcher, self._arrival(operation, grace), state)
         now = self.clock.now_ms()
-        for number in range(int(told["attempts"])):
-            known = next((k for k in told["suspects"] if k["number"] == number), None)
-            worker = known["worker"] if known is not None else 0
-            sent_ms = known["sent_at"] if known is not None else now
-            destination = self.destinations.find(worker) or Nowhere()
+        for number in range(int(state["attempts"])):
+            suspect = next((s for s in state["suspects"] if s["number"] == number), None)
+            worker = suspect["worker"] if suspect is not None else 0
+            sent_ms = suspect["sent_at"] if suspect is not None else now
+            destination = self.destinations.find(worker) or UnreachableDestination()
             attempt = Attempt(operation, number, worker, destination, sent_ms, now + grace)
             operation.attempts.append(attempt)
-            if known is None:
-                attempt.outcome = api.OutcomeKind.NOT_SENT  # proven to have never run
-            elif not known["open"]:
+            if suspect is None:
+                attempt.outcome = api.OutcomeKind.NOT_SENT  # proven never to have run
+            elif not suspect["open"]:
                 attempt.outcome = api.OutcomeKind.UNKNOWN
             else:
-                attempt.started = known["started"]
+                attempt.started = suspect["started"]
                 attempt.timer = self._loop.call_later(grace / 1000, self._attempt_timed_out, attempt)
         self._wake(now)
 
     def _enter(self, operation: Operation) -> float:
-        """Begin to owe an answer; returns the time for it."""
+        """Registers an operation and starts its deadline timer; returns the ms left for its answer."""
         grace = max(0.0, operation.expires_ms - self.clock.now_ms() - self.limits.answer_margin_ms)
-        self.elsewhere.discard(operation.id)
+        self.predecessor_ids.discard(operation.id)
         self.open[operation.id] = operation
-        self.figures.current += 1
+        self.counters.current += 1
         self.held_bytes += len(operation.work.body)
-        operation.timer = self._loop.call_later(grace / 1000, self._time_is_up, operation)
+        operation.timer = self._loop.call_later(grace / 1000, self._deadline_reached, operation)
         return grace
 
     def _arrival(self, operation: Operation, grace: float) -> api.Arrival:
@@ -226,29 +233,33 @@
         )
 
     def room_for(self, size: int) -> bool:
-        """Whether another operation with a body of this size would be taken in."""
+        """Returns whether another operation with a body of `size` bytes would be accepted."""
         return len(self.open) < self.limits.operations and self.held_bytes + size <= self.limits.held_bytes
 
     def withdraw(self, operation: Operation, reason: str) -> None:
-        """Whoever put an operation wants it no more; its answer is owed all the same."""
+        """Ends an operation that its submitter no longer wants. Its recipients still receive an answer."""
         if operation.answer is None:
             verdict = Verdict.FAILED if operation.may_have_run else Verdict.REFUSED
             self._finish(operation, Answer(verdict, reason=reason))
             self._event(api.ClientGone(operation.id))
 
-    # -- from the destinations
+    # -- called by the destinations
 
-    def ended(
+    def attempt_ended(
         self,
         attempt: Attempt,
         kind: api.OutcomeKind,
         result: bytes | None = None,
         report: api.Report | None = None,
     ) -> None:
-        """An attempt is over. Told twice or late, it changes nothing but may still bring the result."""
+        """Records the end of an attempt.
+
+        A repeated or late report does not change the outcome, but its result may still answer the operation.
+        """
         operation = attempt.operation
         if not attempt.open:
-            # guards against a lost result: the connection broke or time ran out, and yet the worker calls
+            # The result must not be lost if the connection broke or the attempt timed out before the worker's
+            # callback.
             if kind is api.OutcomeKind.SERVED and result is not None and operation.answer is None:
                 self._serve(operation, result)
                 for other in operation.attempts:
@@ -262,47 +273,48 @@
             self._serve(operation, result or b"")
         self._close_attempt(attempt, kind, report)
 
-    def unusable(self, attempt: Attempt, report: api.Report | None = None) -> None:
-        """The worker finds the request itself at fault: it fails for good, and nothing is held against it."""
+    def request_invalid(self, attempt: Attempt, report: api.Report | None = None) -> None:
+        """Fails the operation because the worker rejected the request itself; the worker is not blamed."""
         if attempt.open:
             self._finish(attempt.operation, Answer(Verdict.FAILED, reason="not usable"))
             self._close_attempt(attempt, api.OutcomeKind.CANCELLED, report)
 
-    def noted(self, attempt: Attempt, progress: api.Progress, share: float) -> None:
-        """An attempt has begun or goes on."""
+    def progress_reported(self, attempt: Attempt, progress: api.Progress, share: float) -> None:
+        """Records that an attempt has started or made progress."""
         if attempt.open:
             if not attempt.started and logs.traced():
                 logs.trace("started", id=attempt.operation.id, worker=attempt.worker, number=attempt.number)
             if not attempt.started:
-                attempt.started, attempt.began_ms = True, self.clock.now_ms()
+                attempt.started, attempt.started_ms = True, self.clock.now_ms()
             worker, number = attempt.worker, attempt.number
             self._event(api.Note(attempt.operation.id, number, worker, progress, share))
 
-    def sent_whole(self, attempt: Attempt) -> None:
-        """The last byte of an attempt is written."""
-        self.figures.sent(attempt.operation.job_class)
+    def request_written(self, attempt: Attempt) -> None:
+        """Counts an attempt whose last byte has been written."""
+        self.counters.sent(attempt.operation.job_class)
 
-    def probed(self, worker: int, ok: bool, elapsed_ms: float, report: api.Report | None) -> None:
-        """A worker has told its load, or has not."""
-        self.probe_heard(worker, ok, elapsed_ms, report)
+    def probe_ended(self, worker: int, ok: bool, elapsed_ms: float, report: api.Report | None) -> None:
+        """Records the result of a probe by this process; `ok` is False if no load report came."""
+        self.on_probe_result(worker, ok, elapsed_ms, report)
         self._event(api.ProbeResult(worker, ok, elapsed_ms, report))
 
-    def told_load(self, worker: int, elapsed_ms: float, report: api.Report) -> None:
-        """Another node has probed a worker, and tells what it heard just now."""
+    def peer_load_received(self, worker: int, elapsed_ms: float, report: api.Report) -> None:
+        """Records a load report that another node obtained by probing a worker and forwarded."""
         self._event(api.ProbeResult(worker, True, elapsed_ms, report))
 
-    def pool_changed(self, news: api.WorkerList) -> None:
-        """The pool config has changed."""
-        self._event(news)
+    def worker_list_changed(self, worker_list: api.WorkerList) -> None:
+        """Passes a new worker list, or changes to it, to the decision module."""
+        self._event(worker_list)
 
-    def avoided(self) -> set[int]:
-        """Workers that the module leaves alone now."""
-        return avoided(self._dispatcher.table, self.clock.now_ms())
+    def avoided_workers(self) -> set[int]:
+        """Returns the workers that the decision module avoids now."""
+        return avoided_workers(self._dispatcher.table, self.clock.now_ms())
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Whether an attempt may still go out. Asked at the write itself: much may have changed meanwhile.
+        """Returns whether an attempt may still be written.
 
-        Its connection had to come up first, or the process was held up after the decision.
+        Called immediately before the write, because the conditions may have changed since the decision: the
+        connection had to be established first, or the process was suspended.
         """
         operation = attempt.operation
         if not attempt.open or operation.answer is not None:
@@ -312,50 +324,51 @@
         incarnation = self.destinations.incarnation(attempt.worker)
         if incarnation is None or incarnation != attempt.incarnation:
             return False
-        around = self.neighbours
-        if around is not None:
-            if around.closed(attempt.worker):
+        neighbours = self.neighbours
+        if neighbours is not None:
+            if neighbours.closed(attempt.worker):
                 return False
-            if attempt.turn >= 0 and around.turn_over(attempt.turn):
+            if attempt.time_slice >= 0 and neighbours.slice_expired(attempt.time_slice):
                 return False
         return any(recipient.present() for recipient in operation.recipients)
 
-    def pass_turns(self, count: int) -> None:
-        """Use no turns at cold workers for the rest of this one and `count` - 1 more; 0: for good.
+    def skip_time_slices(self, count: int) -> None:
+        """Uses no time slices at cold workers until `count` slices, including the current one, have ended.
 
-        Another process of this node may have spent its part of them, or may yet.
+        0 means permanently. Another process of this node may have spent its budget for them, or may still
+        do so.
         """
-        if self._turns_back is not None:
-            self._turns_back.cancel()
-            self._turns_back = None
-        if self.leased:
+        if self._slice_timer is not None:
+            self._slice_timer.cancel()
+            self._slice_timer = None
+        if self.uses_slice_leases:
             return
         self._event(api.Shares((), places=()))
         if count:
-            turn = self.settings.fall_ms
-            wait = count * turn - self.clock.common_ms() % turn
-            self._turns_back = self._loop.call_later(wait / 1000, self._use_turns)
+            slice_ms = self.settings.fall_ms
+            wait = count * slice_ms - self.clock.common_ms() % slice_ms
+            self._slice_timer = self._loop.call_later(wait / 1000, self._use_time_slices)
 
-    def _use_turns(self) -> None:
-        self._turns_back = None
-        if not self.leased:
+    def _use_time_slices(self) -> None:
+        self._slice_timer = None
+        if not self.uses_slice_leases:
             self._event(api.Shares((), places=(self.settings.me,)))
 
     def allowed(self) -> dict[int, float]:
-        """What the module may still take in, by limit of all nodes."""
+        """Returns how many jobs the decision module may still accept, by fleet-wide limit."""
         return {limit: allowance.jobs for limit, allowance in self._dispatcher.allowed.items()}
 
     def learned(self) -> dict[str, Any]:
-        """What the module has learned, as plain data."""
+        """Returns what the decision module has learned, as plain data for `learn`."""
         return learned(self._dispatcher)
 
-    def learn(self, told: dict[str, Any]) -> None:
-        """Let the module begin with what the one before it has learned."""
-        self.step_now()  # the list comes first
-        learn(self._dispatcher, told)
+    def learn(self, state: dict[str, Any]) -> None:
+        """Initialises the decision module with what its predecessor has learned."""
+        self.step_now()  # the worker list must be known first
+        learn(self._dispatcher, state)
 
-    def attempt_of(self, job: str, worker: int) -> Attempt | None:
-        """The latest attempt of an operation at a worker, if the operation is still known."""
+    def latest_attempt(self, job: str, worker: int) -> Attempt | None:
+        """Returns the latest attempt of an open operation at a worker, or None."""
         operation = self.open.get(job)
         if operation is not None:
             for attempt in reversed(operation.attempts):
@@ -364,34 +377,34 @@
         return None
 
     async def drained(self) -> None:
-        """Wait until every operation has its answer and no attempt is out."""
+        """Waits until every operation is answered and no attempt is open."""
         while self.open:
             self._idle = self._loop.create_future()
             await self._idle
 
-    # -- the loop
+    # -- the event loop
 
     def _event(self, event: api.Event) -> None:
         self._events.append(event)
         self._wake(self.clock.now_ms())
 
     def step_now(self) -> None:
-        """Have the module take in what has happened, without waiting for its period."""
+        """Runs a step of the decision module at once, without waiting for the step period."""
         if self._step_timer is not None:
             self._step_timer.cancel()
         self._step()
 
-    def step_soon(self) -> None:
-        """Have the module told what it has to hear before it decides (`advisers`)."""
+    def schedule_step(self) -> None:
+        """Schedules a step, so that events from `event_sources` reach the decision module."""
         self._wake(self.clock.now_ms())
 
     def _wake(self, at_ms: float) -> None:
-        """Have a step at this time, or a period after the last one if that is later.
+        """Schedules a step at `at_ms`, or one period after the last step if that is later.
 
-        An earlier one may take the timer's place: what the module asked for is kept in _wakes.
+        A call for an earlier time replaces the timer; the decision module's requests remain in _wakeups.
         """
         now = self.clock.now_ms()
-        delay = max(at_ms - now, self._last_step + self.settings.tick_ms - now, 0.0) / 1000
+        delay = max(at_ms - now, self._last_step_ms + self.settings.tick_ms - now, 0.0) / 1000
         if self._step_timer is not None:
             if self._step_timer.when() <= self._loop.time() + delay:
                 return
@@ -400,78 +413,80 @@
 
     def _step(self) -> None:
         self._step_timer = None
-        if self._hearing:
-            # guards the module's time: what neighbours tell (a ban for all) asks for a step within this one
+        if self._reading_neighbours:
+            # Reading the neighbours' changes may request a step within this one, for example for a ban on all
+            # nodes. The decision module must not run again at that point.
             return
-        self._hearing = True
+        self._reading_neighbours = True
         try:
-            heard = self._hear_neighbours()
+            neighbour_events = self._neighbour_events()
         finally:
-            self._hearing = False
-        now = self._last_step = self.clock.now_ms()
-        advice = [event for adviser in self.advisers for event in adviser()]
-        events, self._events = [*advice, *heard, *self._common_clock(), *self._events], []
-        # guards against a wake-up lost to an earlier step: the module does not ask for the same one again
-        while self._wakes and self._wakes[0] <= now:
-            heapq.heappop(self._wakes)
+            self._reading_neighbours = False
+        now = self._last_step_ms = self.clock.now_ms()
+        leading_events = [event for source in self.event_sources for event in source()]
+        events, self._events = [*leading_events, *neighbour_events, *self._clock_event(), *self._events], []
+        # The decision module does not request the same wake-up twice, so none may be lost to an earlier step.
+        while self._wakeups and self._wakeups[0] <= now:
+            heapq.heappop(self._wakeups)
             events.append(api.Timer(0))
         tracing = logs.traced()
         if tracing:
-            held = {job: why_held(self._dispatcher, job, now) for job in list(self._dispatcher.held)}
+            reasons = {job: hold_reasons(self._dispatcher, job, now) for job in list(self._dispatcher.held)}
         try:
             actions = self._dispatcher.step(now, events)
         except Exception:
-            # guards the other operations: one bad event must not end the node; its own are answered here
-            log.exception("step failed")
+            # A fault in the decision module must not end the node. The operations that arrived with this step
+            # are answered here, the others continue.
+            log.exception("step of the decision module failed")
             actions = []
             for event in events:
                 operation = self.open.get(event.job) if isinstance(event, api.Arrival) else None
                 if operation is not None:
-                    self._finish(operation, self._given_up(operation))
-        self.decided()
+                    self._finish(operation, self._overdue_answer(operation))
+        self.on_step()
         if tracing:
-            self._trace_step(actions, held, now)
+            self._trace_step(actions, reasons, now)
         for action in actions:
             try:
                 self._act(action, now)
             except Exception:
-                log.exception("action failed", extra={"action": type(action).__name__})
-        if self._wakes:
-            self._wake(self._wakes[0])
+                log.exception("action of the decision module failed", extra={"action": type(action).__name__})
+        if self._wakeups:
+            self._wake(self._wakeups[0])
 
     def _trace_step(
-        self, actions: list[api.Action], held: dict[str, dict[str, int] | None], now: float
+        self, actions: list[api.Action], reasons: dict[str, dict[str, int] | None], now: float
     ) -> None:
-        """Say what a step has decided, and what it rested on."""
+        """Traces the decisions of a step and the state on which they are based."""
         for action in actions:
             if isinstance(action, api.Send):
                 work = action.work if action.most else 0.0
-                told = belief(self._dispatcher, action.worker, now)
-                logs.trace("send", id=action.job, worker=action.worker, cold=work, **told)
+                summary = worker_summary(self._dispatcher, action.worker, now)
+                logs.trace("send", id=action.job, worker=action.worker, cold=work, **summary)
             elif isinstance(action, api.Refuse | api.Fail):
                 kind = type(action).__name__.lower()
-                logs.trace("given up", id=action.job, how=kind, why=held.get(action.job) or "-")
+                logs.trace("given up", id=action.job, how=kind, why=reasons.get(action.job) or "-")
             elif isinstance(action, api.Probe):
                 logs.trace("probe", worker=action.worker)
         for job in self._dispatcher.held:
-            if job not in held:
-                logs.trace("held", id=job, why=why_held(self._dispatcher, job, now))
+            if job not in reasons:
+                logs.trace("held", id=job, why=hold_reasons(self._dispatcher, job, now))
 
-    def _common_clock(self) -> list[api.Event]:
-        """Where the wall clock stands, if it has drifted or was stepped since the module was told."""
+    def _clock_event(self) -> list[api.Event]:
+        """Returns an event with the wall clock offset if it has changed since it was last reported."""
         ahead = self.clock.ahead_ms()
-        if abs(ahead - self._ahead_told) < CLOCK_DRIFT_MS:
+        if abs(ahead - self._reported_ahead_ms) < CLOCK_REPORT_THRESHOLD_MS:
             return []
-        self._ahead_told = ahead
+        self._reported_ahead_ms = ahead
         return [api.CommonClock(ahead)]
 
-    def _hear_neighbours(self) -> list[api.Event]:
-        """What the other processes of the node do, or all nodes: put before what else has happened."""
+    def _neighbour_events(self) -> list[api.Event]:
+        """Returns the changes reported by the other processes of the node, or by all nodes of the fleet."""
         if self.neighbours is None:
             return []
-        shares, places = self.neighbours.shares(), self.neighbours.places()
-        if places is not None:
-            return [api.Shares(shares, self.neighbours.fleet, *places)]
+        shares, owned_slices = self.neighbours.shares(), self.neighbours.owned_slices()
+        if owned_slices is not None:
+            return [api.Shares(shares, self.neighbours.fleet, *owned_slices)]
         return [api.Shares(shares, self.neighbours.fleet)] if shares else []
 
     def _act(self, action: api.Action, now: float) -> None:
@@ -483,8 +498,9 @@
                 if operation is not None and number < len(operation.attempts):
                     attempt = operation.attempts[number]
                     if attempt.open and operation.answer is None:
-                        # guards against two copies at once: once its end is told, the job may go again
-                        attempt.destination.cancel(attempt, lambda: self._recalled(attempt))
+                        # The attempt stays open until the worker acknowledges. Once its end is reported, the
+                        # job may be sent again, and two copies must not run at once.
+                        attempt.destination.cancel(attempt, lambda: self._cancel_acknowledged(attempt))
                     elif attempt.open:
                         attempt.destination.cancel(attempt)
                         self._close_attempt(attempt, api.OutcomeKind.CANCELLED, None)
@@ -499,17 +515,17 @@
             case api.Probe(worker):
                 destination = self.destinations.find(worker)
                 if destination is None:
-                    self.probed(worker, False, 0.0, None)
+                    self.probe_ended(worker, False, 0.0, None)
                 else:
                     destination.probe()
             case api.Wake(at, _):
-                heapq.heappush(self._wakes, at)
+                heapq.heappush(self._wakeups, at)
             case api.WatchList():
                 self.destinations.watch()
             case api.Log(message):
-                log.info("module", extra={"text": message})
+                log.info("decision module", extra={"text": message})
             case api.Tell():
-                log.warning("the module has no peer channel of its own")
+                log.warning("decision module sent a peer message, but has no peer channel; message dropped")
 
     def _send(self, operation: Operation | None, send: api.Send, now: float) -> None:
         if operation is None or operation.answer is not None:
@@ -524,33 +540,35 @@
         if send.timeout_ms > 0:
             expires = min(expires, now + send.timeout_ms)
         attempt = Attempt(operation, number, worker, destination, now, expires)
-        attempt.turn = send.turn if send.most > 0 else -1
+        attempt.time_slice = send.turn if send.most > 0 else -1
         attempt.not_after_ms = min(expires, send.not_after_ms)
         if send.most > 0:
-            turn_ends = (send.turn + 1) * self.settings.fall_ms - self._ahead_told
-            attempt.not_after_ms = min(attempt.not_after_ms, turn_ends + TURN_LATE_MS)
+            slice_end_ms = (send.turn + 1) * self.settings.fall_ms - self._reported_ahead_ms
+            attempt.not_after_ms = min(attempt.not_after_ms, slice_end_ms + MAX_SLICE_OVERRUN_MS)
         attempt.incarnation = self.destinations.incarnation(worker)
         operation.attempts.append(attempt)
         delay = max(0.0, expires - now) / 1000
         attempt.timer = self._loop.call_later(delay, self._attempt_timed_out, attempt)
         if self.neighbours is not None:
-            self.neighbours.filled(worker, operation.slots)
-            # guards a cold worker: what other processes spent since the module last heard of it counts too
-            if send.most > 0 and not self.neighbours.take_cold(worker, send.turn, send.work, send.most):
+            self.neighbours.add_filled_slots(worker, operation.slots)
+            # Protects a cold worker: budget that other processes spent since the last report counts too.
+            if send.most > 0 and not self.neighbours.spend_cold_budget(
+                worker, send.turn, send.work, send.most
+            ):
                 self._close_attempt(attempt, api.OutcomeKind.NOT_SENT, None)
                 return
         try:
             for observer in self.observers:
                 observer(operation, "sent")
         except OSError:
-            # guards the promise that intent is on the disk first: what cannot be noted is not sent
+            # The intent must be on disk before the send, so an attempt that cannot be recorded is not sent.
             log.exception("intent not written", extra={"id": operation.id})
             self._close_attempt(attempt, api.OutcomeKind.NOT_SENT, None)
             return
         destination.send(attempt)
 
-    def _recalled(self, attempt: Attempt) -> None:
-        """The worker has heard that an attempt is given up, whose job is still owed an answer."""
+    def _cancel_acknowledged(self, attempt: Attempt) -> None:
+        """Closes a cancelled attempt of an unanswered operation after the worker has acknowledged."""
         if attempt.open:
             self._close_attempt(attempt, api.OutcomeKind.CANCELLED, None)
 
@@ -559,19 +577,22 @@
             attempt.destination.cancel(attempt)
             self._close_attempt(attempt, api.OutcomeKind.TIMED_OUT, None)
 
-    def _time_is_up(self, operation: Operation) -> None:
-        """The module answers what it holds and what timed out; this guards against its not doing so."""
+    def _deadline_reached(self, operation: Operation) -> None:
+        """Leaves the decision module half of the answer margin to answer the operation itself."""
         if operation.answer is None:
             delay = self.limits.answer_margin_ms / 2000
             operation.timer = self._loop.call_later(delay, self._overdue, operation)
 
     def _overdue(self, operation: Operation) -> None:
         if operation.answer is None:
-            log.error("answered by the deadline's guard", extra={"id": operation.id})
-            self._finish(operation, self._given_up(operation))
+            log.error(
+                "operation answered at its deadline: no answer from the decision module",
+                extra={"id": operation.id},
+            )
+            self._finish(operation, self._overdue_answer(operation))
             self._event(api.ClientGone(operation.id))
 
-    def _given_up(self, operation: Operation) -> Answer:
+    def _overdue_answer(self, operation: Operation) -> Answer:
         if operation.may_have_run:
             return Answer(Verdict.FAILED, reason="gave up")
         return Answer(Verdict.REFUSED, b"", self.limits.busy_retry_ms, "gave up")
@@ -582,11 +603,11 @@
             attempt.timer.cancel()
         operation = attempt.operation
         if logs.traced():
-            ended = {"id": operation.id, "worker": attempt.worker, "by": kind.name.lower()}
-            logs.trace("ended", number=attempt.number, started=attempt.started, **ended)
+            fields = {"id": operation.id, "worker": attempt.worker, "by": kind.name.lower()}
+            logs.trace("ended", number=attempt.number, started=attempt.started, **fields)
         if self.neighbours is not None:
-            self.neighbours.filled(attempt.worker, -operation.slots)
-        for listener in self.outcome_heard:
+            self.neighbours.add_filled_slots(attempt.worker, -operation.slots)
+        for listener in self.outcome_listeners:
             listener(attempt, kind)
         elapsed = self.clock.now_ms() - attempt.sent_ms
         done = operation.answer is not None
@@ -605,20 +626,20 @@
         self._finish(operation, Answer(Verdict.SERVED, result))
 
     def _finish(self, operation: Operation, answer: Answer) -> None:
-        """The one place where a final answer is given."""
+        """Sets the final answer. Every accepted operation is answered here, and only once."""
         if operation.answer is not None:
             return
         operation.answer = answer
-        self.figures.current -= 1
+        self.counters.current -= 1
         if operation.timer is not None:
             operation.timer.cancel()
         self._observe(operation, answer.verdict.value)
-        self._tell(operation, answer)
+        self._deliver(operation, answer)
         self._forget_if_over(operation)
 
-    def _tell(self, operation: Operation, answer: Answer) -> None:
-        """Every answer of an operation passes here, and is counted here."""
-        self.figures.answered(operation.job_class, answer.verdict)
+    def _deliver(self, operation: Operation, answer: Answer) -> None:
+        """Counts an answer and delivers it to the recipients. Rejected operations are answered here too."""
+        self.counters.answered(operation.job_class, answer.verdict)
         if logs.traced():
             logs.trace("answer", id=operation.id, verdict=answer.verdict.value, reason=answer.reason or "-")
         recipients, operation.recipients = operation.recipients, []
@@ -639,9 +660,9 @@
             self._idle.set_result(None)
 
     def _remember(self, job: str) -> None:
-        """Guards against a second run, and a shared answer, where an id comes again."""
+        """Keeps an answered id, so that a repeated request neither runs again nor shares the answer."""
         self._recent[job] = None
         while len(self._recent) > self.limits.recent:
-            old, _ = self._recent.popitem(last=False)
+            oldest, _ = self._recent.popitem(last=False)
             if self.neighbours is not None:
-                self.neighbours.forget(old)
+                self.neighbours.forget(oldest)
--- a/pebbledrift/core/figures.py
+++ b/pebbledrift/core/figures.py
@@ -1,4 +1,4 @@
-"""The figures that operators read: counted here, rendered by whoever shows them."""
+"""Counters for operators. They are kept here and rendered by the admin interfaces."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 @dataclass(slots=True)
-class ClassFigures:
-    """Jobs of one class, by their final answer, and attempts written whole."""
+class ClassCounters:
+    """Operations of one class by final answer, and the number of attempts written completely."""
 
     served: int = 0
     refused: int = 0
@@ -17,26 +17,26 @@
     sends: int = 0
 
 
-class Figures:
-    """Counts from the process's start. Every class is there from the start."""
+class Counters:
+    """Counters since the start of the process, with an entry for every class."""
 
     def __init__(self, classes: int) -> None:
-        self.classes = [ClassFigures() for _ in range(classes)]
-        self.current = 0  # operations taken and not answered
-        self.conf_loaded = 1  # configurations read; the start's is the first
-        self.conf_invalid = 0  # and rejected
+        self.classes = [ClassCounters() for _ in range(classes)]
+        self.current = 0  # operations accepted and not yet answered
+        self.conf_loaded = 1  # configurations loaded, including the one at the start
+        self.conf_invalid = 0  # configurations rejected
 
     def answered(self, job_class: int, verdict: Verdict) -> None:
-        """An operation has its final answer, whoever gave it."""
-        figures = self.classes[job_class]
+        """Counts the final answer of an operation, whichever component gave it."""
+        counters = self.classes[job_class]
         match verdict:
             case Verdict.SERVED:
-                figures.served += 1
+                counters.served += 1
             case Verdict.REFUSED:
-                figures.refused += 1
+                counters.refused += 1
             case Verdict.FAILED:
-                figures.failed += 1
+                counters.failed += 1
 
     def sent(self, job_class: int) -> None:
-        """An attempt's last byte is written."""
+        """Counts an attempt whose last byte has been written."""
         self.classes[job_class].sends += 1
--- a/pebbledrift/core/model.py
+++ b/pebbledrift/core/model.py
@@ -1,4 +1,4 @@
-"""Operations, attempts, answers, and the protocols by which the core knows fronts and destinations."""
+"""Operations, attempts, answers, and the protocols through which the core uses fronts and destinations."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 from spoolpier import interface as api
 
-# a send to a cold worker may begin so long after its turn: its connection had to come up first. What comes
-# later was decided by a process that was stopped meanwhile, and others have had their turns since
-TURN_LATE_MS = 250.0
+# A send to a cold worker may begin up to this long after its time slice, because its connection has to be
+# established first. A later send was decided by a process that was suspended in between, and other processes
+# have used their time slices since then.
+MAX_SLICE_OVERRUN_MS = 250.0
 
 
 class Verdict(Enum):
-    """The three final answers."""
+    """The three kinds of final answer."""
 
     SERVED = "served"
-    REFUSED = "refused"  # a busy reply: a further try is harmless
+    REFUSED = "refused"  # a busy reply: nothing has run, and the client may safely retry
     FAILED = "failed"
 
 
@@ -32,12 +33,12 @@
     result: bytes = b""
     retry_after_ms: float = 0.0
     reason: str = ""
-    in_use: bool = False  # failed because the id belongs to another request
+    id_in_use: bool = False  # failed because the id belongs to another request
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What a destination is handed, passed on unchanged."""
+    """The payload that is passed to a destination unchanged."""
 
     target: str
     body: bytes
@@ -45,95 +46,112 @@
 
 
 class Recipient(Protocol):
-    """Whoever is owed an operation's final answer."""
+    """A client connection or another party that receives the final answer of an operation."""
 
     def answered(self, operation: Operation, answer: Answer) -> None:
-        """Take the single final answer."""
+        """Receives the single final answer."""
 
     def present(self) -> bool:
-        """Whether the answer is still waited for. Asked right before an attempt is written."""
+        """Returns whether the recipient still waits. Called right before an attempt is written."""
 
 
 class Destination(Protocol):
-    """A worker as the core sees it. It reports back through Engine.ended, noted and probed."""
+    """A worker as the core uses it.
+
+    It reports through `Engine.attempt_ended`, `Engine.progress_reported` and `Engine.probe_ended`.
+    """
 
     def send(self, attempt: Attempt) -> None:
-        """Begin an attempt."""
+        """Starts an attempt."""
+
+    def cancel(self, attempt: Attempt, on_acknowledged: Callable[[], None] | None = None) -> None:
+        """Cancels an attempt.
 
-    def cancel(self, attempt: Attempt, heard: Callable[[], None] | None = None) -> None:
-        """Give an attempt up; `heard` is called once its worker is known to have been told, if ever."""
+        `on_acknowledged` is called once the worker is known to have received the cancellation, which may
+        never happen.
+        """
 
     def probe(self) -> None:
-        """Ask for the load report."""
+        """Requests the load report."""
 
-    def taken(self, attempt: Attempt) -> bool:
-        """Whether the worker has the attempt, and only its call-back is awaited."""
+    def accepted(self, attempt: Attempt) -> bool:
+        """Returns whether the worker has accepted the attempt, so that only its callback is outstanding."""
 
-    def recall(self) -> None:
-        """Take back attempts of which nothing has been written yet."""
+    def withdraw_unsent(self) -> None:
+        """Withdraws attempts of which no byte has been written."""
 
 
 class Destinations(Protocol):
-    """The destinations by the module's worker numbers."""
+    """The destinations by the worker numbers of the decision module."""
 
     def find(self, worker: int) -> Destination | None:
-        """The destination, or None where none is known by this number."""
+        """Returns the destination with this number, or None if there is none."""
 
     def incarnation(self, worker: int) -> float | None:
-        """The start of the process that is in service there, None while none is. Asked at each write."""
+        """Returns the start time (ms) of the worker process in service, None if there is none.
+
+        Called at each write.
+        """
 
     def watch(self) -> None:
-        """Follow discovery's changes from now on."""
+        """Starts following changes from discovery."""
 
 
 class Claim(Enum):
-    """What came of a claim to an id."""
+    """The result of claiming an id."""
 
     OWN = "own"
-    TAKEN = "taken"  # it is open elsewhere in this node, was answered lately, or was lost with its process
-    NO_ROOM = "no room"  # nothing is known of the id, and nothing of it may run
+    TAKEN = "taken"  # open in another process, answered recently, or lost with the process that had it
+    NO_ROOM = "no room"  # the id is not registered, so the operation must not run
 
 
 class Neighbours(Protocol):
-    """The other processes of the same node (docs/cores.md), or the other nodes of the fleet, to the core."""
+    """The other processes of this node (docs/cores.md) or the other nodes of the fleet."""
 
-    fleet: bool  # shares() tells of all nodes
+    fleet: bool  # shares() covers all nodes
 
     def claim(self, job: str) -> Claim:
-        """Make an id this process's own, if it is nobody's. Atomic over all processes."""
+        """Claims an id for this process if no process has it. Atomic across all processes."""
 
     def forget(self, job: str) -> None:
-        """An id of this process is free again."""
+        """Releases an id of this process."""
 
     def closed(self, worker: int) -> bool:
-        """Whether nothing new may be sent to a worker, by the newest word at the node. Read at each send."""
+        """Returns whether a worker must not receive new attempts, by the node's latest state.
 
-    def take_cold(self, worker: int, turn: int, work: float, most: float) -> bool:
-        """Spend from a cold worker's budget for a turn; False where it would go over `most`."""
+        Read at each send.
+        """
+
+    def spend_cold_budget(self, worker: int, time_slice: int, work: float, budget: float) -> bool:
+        """Spends from a cold worker's budget for a time slice; False if that would exceed `budget`."""
+
+    def slice_expired(self, time_slice: int) -> bool:
+        """Returns whether it is too late for a send to a cold worker that belongs to this time slice.
 
-    def turn_over(self, turn: int) -> bool:
-        """Whether what was to be sent to a cold worker in a turn comes too late. Asked before the
-        first byte.
+        Called before the first byte is written.
         """
 
-    def places(self) -> tuple[tuple[int, ...], float] | None:
-        """The numbers whose turns are this process's, and the guard in ms, where they have changed."""
+    def owned_slices(self) -> tuple[tuple[int, ...], float] | None:
+        """Returns the dispatcher numbers whose time slices belong to this process, and the guard time in ms.
+
+        Returns None if they have not changed.
+        """
 
-    def filled(self, worker: int, slots: float) -> None:
-        """This process fills so many slots more, or fewer, at a worker."""
+    def add_filled_slots(self, worker: int, slots: float) -> None:
+        """Adds to the slots that this process occupies at a worker; `slots` may be negative."""
 
     def shares(self) -> tuple[api.Share, ...]:
-        """What has changed of what the others fill and spend."""
+        """Returns changes in the slots that other processes occupy and the cold budget they spend."""
 
 
 @dataclass(slots=True, eq=False)
 class Operation:
-    """A request taken in, until its final answer and the end of its last attempt."""
+    """An accepted request, until its final answer and the end of its last attempt."""
 
     id: str
     job_class: int
     work: Work
-    expires_ms: float  # the final answer is due before this
+    expires_ms: float  # deadline of the final answer
     recipients: list[Recipient]
     tenant: int | None = None
     key: int | None = None
@@ -141,14 +159,14 @@
     slots: float = 1.0
     memory: float | None = None
     repeat: bool = False
-    origin: str = ""  # where it came in, in its front's words
+    origin: str = ""  # where the operation arrived, in a form that its front defines
     attempts: list[Attempt] = field(default_factory=list)
     answer: Answer | None = None
     timer: asyncio.TimerHandle | None = None
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt is out or not proven to have never run."""
+        """Whether any attempt is open or is not proven never to have run."""
         return any(a.outcome not in api.PROVEN_NOT_RUN for a in self.attempts)
 
 
@@ -165,16 +183,16 @@
     outcome: api.OutcomeKind | None = None
     timer: asyncio.TimerHandle | None = None
     started: bool = False
-    began_ms: float = 0.0  # when it was told to have begun; 0: never
-    turn: int = -1  # at a cold worker, in which it has to go out
-    not_after_ms: float = math.inf  # nothing of it is written later than this
-    incarnation: float | None = 0.0  # the worker's process that it was meant for
+    started_ms: float = 0.0  # when the worker reported the start; 0 if it has not
+    time_slice: int = -1  # the time slice that a send to a cold worker must use; -1 for other sends
+    not_after_ms: float = math.inf  # no byte may be written after this time
+    incarnation: float | None = 0.0  # start time of the worker process that the attempt is meant for
 
     @property
     def open(self) -> bool:
-        """Whether the attempt is still out."""
+        """Whether the attempt has not ended."""
         return self.outcome is None
 
 
 Observer = Callable[[Operation, str], None]
-"""Told of an operation's changes of state: taken, sent, served, refused, failed."""
+"""Called at each state change of an operation: taken, sent, served, refused, failed."""
--- a/pebbledrift/core/states.py
+++ b/pebbledrift/core/states.py
@@ -1,4 +1,4 @@
-"""The node's states: one owner, asked by the fronts, by readiness and by the operators' STATUS."""
+"""The state of the node. The fronts, the readiness check and the operators' STATUS command read it."""
 
 from __future__ import annotations
 
@@ -7,61 +7,62 @@
 
 
 class State(Enum):
-    """What the node is doing."""
+    """The lifecycle state of the node."""
 
-    STARTING = "starting"  # the front is not served, or discovery has not told the list yet
+    STARTING = "starting"  # the front does not accept clients yet, or discovery has not delivered the list
     READY = "ready"
-    PAUSED = "paused"  # emptied by an operator: serves what still comes, and is out of the front's list
-    STOPPING = "stopping"  # told to end
-    SUCCEEDED = "succeeded"  # a newer process serves in its place
+    PAUSED = "paused"  # drained by an operator: requests are still served, but the node reports not ready
+    STOPPING = "stopping"  # shutting down
+    REPLACED = "succeeded"  # superseded by a newer process
 
 
 class NodeStates:
-    """What was asked of the node; whether it could serve is asked of the pool each time."""
+    """The states requested of the node. Whether it can serve is asked of the pool at each read."""
 
-    def __init__(self, could_serve: Callable[[], bool]) -> None:
-        self.could_serve = could_serve
+    def __init__(self, can_serve: Callable[[], bool]) -> None:
+        self.can_serve = can_serve
         self.serving = False  # clients are accepted
         self.paused = False
         self.stopping = False
-        self.succeeded = False
-        self.changed: list[Callable[[], None]] = []  # told of a pause, its end, a stop, a succession
+        self.replaced = False
+        self.listeners: list[Callable[[], None]] = []  # called on pause, resume, stop and replacement
 
     @property
     def state(self) -> State:
-        """The state now; the one nearest to the node's end counts."""
-        if self.succeeded:
-            return State.SUCCEEDED
+        """The current state. If several apply, the one closest to the end of the process wins."""
+        if self.replaced:
+            return State.REPLACED
         if self.stopping:
             return State.STOPPING
         if self.paused:
             return State.PAUSED
-        return State.READY if self.serving and self.could_serve() else State.STARTING
+        return State.READY if self.serving and self.can_serve() else State.STARTING
 
     @property
     def ready(self) -> bool:
         """Whether the front may send clients to the node's address."""
-        # guards the address at an upgrade: one that is succeeded must not say no for the other
-        return self.state is State.READY or (self.succeeded and not self.paused)
+        # During an upgrade both processes share the address: the replaced one must not report not-ready
+        # on behalf of the other.
+        return self.state is State.READY or (self.replaced and not self.paused)
 
     def pause(self, paused: bool) -> None:
-        """Empty the node, or take clients again; twice is once."""
+        """Pauses or resumes the node. Repeated calls have no effect."""
         if self.paused is not paused:
             self.paused = paused
-            self._tell()
+            self._notify()
 
     def stop(self) -> None:
-        """The node is to end."""
+        """Marks the node as shutting down."""
         if not self.stopping:
             self.stopping = True
-            self._tell()
+            self._notify()
 
-    def succeed(self, succeeded: bool) -> None:
-        """A newer process serves, or has died and left the place to this one again."""
-        if self.succeeded is not succeeded:
-            self.succeeded = succeeded
-            self._tell()
+    def set_replaced(self, replaced: bool) -> None:
+        """Records that a newer process serves, or that it has died and this process serves again."""
+        if self.replaced is not replaced:
+            self.replaced = replaced
+            self._notify()
 
-    def _tell(self) -> None:
-        for told in self.changed:
-            told()
+    def _notify(self) -> None:
+        for listener in self.listeners:
+            listener()
--- a/pebbledrift/core/view.py
+++ b/pebbledrift/core/view.py
@@ -1,4 +1,4 @@
-"""What people are shown of the decision module's state."""
+"""Summaries of the decision module's state for operators and for the trace."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from spoolpier.workers import EXCLUDED_MOST, WorkerTable
 
 
-def avoided(table: WorkerTable, now: float) -> set[int]:
-    """Workers left alone now, by all jobs or by those of a class, as choose() sees it."""
+def avoided_workers(table: WorkerTable, now: float) -> set[int]:
+    """Returns the workers that are avoided now, for all jobs or for a class, by the rules of choose()."""
     up = [w for w in table.workers.values() if w.up]
-    found = {w.id for w in up if w.unreached and now < w.suspended_until}
+    avoided = {w.id for w in up if w.unreached and now < w.suspended_until}
     for job_class in range(len(table.settings.classes)):
         failing = {w.id for w in up if now < w.failed_until.get(job_class, NEVER)}
-        found |= failing if len(failing) <= EXCLUDED_MOST * len(up) else set()
-    judged = {worker for worker, _ in table.out}
-    return found | {w.id for w in up if w.id in judged}
+        avoided |= failing if len(failing) <= EXCLUDED_MOST * len(up) else set()
+    excluded = {worker for worker, _ in table.out}
+    return avoided | {w.id for w in up if w.id in excluded}
 
 
-def belief(dispatcher: Dispatcher, worker: int, now: float) -> dict[str, object]:
-    """What the module holds of a worker, in a few words and figures."""
+def worker_summary(dispatcher: Dispatcher, worker: int, now: float) -> dict[str, object]:
+    """Returns the decision module's view of a worker as trace fields."""
     w = dispatcher.table.workers.get(worker)
     if w is None:
         return {"state": "unknown"}
@@ -41,10 +41,10 @@
     }
 
 
-def hindrance(dispatcher: Dispatcher, job: Job, w: Worker, now: float) -> str:
-    """Why a job is not sent to a worker now, in the order in which Dispatcher.choose looks; "" if it could.
+def rejection_reason(dispatcher: Dispatcher, job: Job, w: Worker, now: float) -> str:
+    """Returns why a job is not sent to a worker now, or "" if it could be sent.
 
-    Probes that are out are not looked at.
+    The checks follow the order of Dispatcher.choose. Outstanding probes are not considered.
     """
     table, s = dispatcher.table, dispatcher.settings
     if now < w.suspended_until:
@@ -76,14 +76,14 @@
     return ""
 
 
-def why_held(dispatcher: Dispatcher, job_id: str, now: float) -> dict[str, int] | None:
-    """Of all workers up, how many would not take a held job, by reason; None for a job that is not held.
+def hold_reasons(dispatcher: Dispatcher, job_id: str, now: float) -> dict[str, int] | None:
+    """Returns how many of the workers that are up reject a held job, by reason; None if it is not held.
 
-    "unseen" are those that would: the job has not looked so far yet.
+    "unseen" counts workers that would accept the job, but that its search has not reached yet.
     """
     job = dispatcher.held.get(job_id)
     if job is None:
         return None
     up = [w for w in dispatcher.table.workers.values() if w.up]
-    found = Counter(hindrance(dispatcher, job, w, now) or "unseen" for w in up)
-    return dict(found.most_common())
+    counts = Counter(rejection_reason(dispatcher, job, w, now) or "unseen" for w in up)
+    return dict(counts.most_common())
--- a/pebbledrift/cores/core.py
+++ b/pebbledrift/cores/core.py
@@ -24,7 +24,7 @@
 from pebbledrift import logs
 from pebbledrift.config import Config, ConfigError, load
 from pebbledrift.core.clock import Clock
-from pebbledrift.core.model import TURN_LATE_MS
+from pebbledrift.core.model import MAX_SLICE_OVERRUN_MS
 from pebbledrift.cores import figures
 from pebbledrift.cores.atoms import Atoms
 from pebbledrift.cores.board import Board, Seat
@@ -67,27 +67,27 @@
         self.claim = self.directory.claim
         self.forget = self.directory.forget
         self.closed = self.board.closed
-        self.filled = self.seat.filled
+        self.add_filled_slots = self.seat.filled
 
     claim: Any
     forget: Any
     closed: Any
-    filled: Any
+    add_filled_slots: Any
 
     def turn(self) -> int:
         """The turn at cold workers, as the decision module counts it."""
         return int(self.clock.common_ms() // self.fall_ms)
 
-    def take_cold(self, worker: int, turn: int, work: float, most: float) -> bool:
+    def spend_cold_budget(self, worker: int, turn: int, work: float, most: float) -> bool:
         """Spend from a cold worker's budget."""
         # guards against a process that was stopped between its decision and this line
         return turn == self.turn() and self.seat.take_cold(worker, turn, work, most)
 
-    def turn_over(self, turn: int) -> bool:
+    def slice_expired(self, turn: int) -> bool:
         """Whether a turn has passed, but for the time that a send takes to begin."""
-        return self.clock.common_ms() > (turn + 1) * self.fall_ms + TURN_LATE_MS
+        return self.clock.common_ms() > (turn + 1) * self.fall_ms + MAX_SLICE_OVERRUN_MS
 
-    def places(self) -> None:
+    def owned_slices(self) -> None:
         """Cores of one node have its turns together."""
 
     def shares(self) -> tuple[api.Share, ...]:
@@ -164,16 +164,16 @@
                 self.fronts.take(descriptor, lambda: self._take(number))
             case "news":
                 self.pool.follower.heard |= not fields["cached"]
-                self.pool.take(json.loads(body), cached=bool(fields["cached"]))
+                self.pool.apply_list(json.loads(body), cached=bool(fields["cached"]))
                 self._publish()  # STATUS must not say no once /-/ready says yes
             case "rely":
-                self.pool.rely(bool(fields["current"]))
+                self.pool.set_current(bool(fields["current"]))
                 self._publish()
             case "ban":
                 uid, banned = str(fields["uid"]), bool(fields["banned"])
                 known = self.pool.ban(uid, banned)
                 if fields["must"] and not known:
-                    self.pool.lay_ban(uid, banned)
+                    self.pool.set_ban(uid, banned)
                 self._obeyed(fields, known)
             case "pause":
                 self.states.pause(bool(fields["paused"]))
@@ -216,22 +216,24 @@
 
     def _show(self) -> None:
         if self._shown % AVOIDED_EVERY == 0:
-            self.around.seat.avoid(self.engine.avoided())
+            self.around.seat.avoid(self.engine.avoided_workers())
         self._shown += 1
         self._publish()
         self.loop.call_later(SHOW_S, self._show)
 
     def _publish(self) -> None:
-        counted = self.engine.figures
-        listed = self.pool.listed()
-        extra = {e.worker for e in self.pool.extra_entries}
+        counted = self.engine.counters
+        listed = self.pool.listed_workers()
+        extra = {e.worker for e in self.pool.inventory_entries}
         self.figures_at.publish(
             figures.CoreFigures(
                 shown_ms=time.monotonic() * 1000,
                 sockets=len(self.fronts.sockets),
                 current=counted.current,
                 listed=len(listed),
-                extra_unhealthy=len(extra & (self.engine.avoided() | self.pool.banned)) if extra else 0,
+                extra_unhealthy=len(extra & (self.engine.avoided_workers() | self.pool.banned))
+                if extra
+                else 0,
                 ready=self.states.ready,
                 posted=self.mailbox.posted,
                 taken=self._taken,
--- a/pebbledrift/cores/figures.py
+++ b/pebbledrift/cores/figures.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from pebbledrift.core.figures import ClassFigures
+from pebbledrift.core.figures import ClassCounters
 from pebbledrift.cores.region import COUNTS, FIGURES, Region
 
 
@@ -20,7 +20,7 @@
     ready: bool = False
     posted: int = 0  # call-backs passed on to other cores
     taken: int = 0  # number of the last connection that was taken
-    classes: list[ClassFigures] = field(default_factory=list)
+    classes: list[ClassCounters] = field(default_factory=list)
 
 
 class Block:
@@ -49,7 +49,7 @@
         """What was written last."""
         words = self.words.tolist()
         classes = [
-            ClassFigures(*words[at : at + COUNTS])
+            ClassCounters(*words[at : at + COUNTS])
             for at in range(FIGURES, FIGURES + COUNTS * self.classes, COUNTS)
         ]
         shown, sockets, current, listed, extra, ready, posted, taken = words[:8]
--- a/pebbledrift/cores/supervisor.py
+++ b/pebbledrift/cores/supervisor.py
@@ -26,7 +26,7 @@
 from pebbledrift.bounds import Limits
 from pebbledrift.config import Config
 from pebbledrift.core.clock import Clock
-from pebbledrift.core.figures import ClassFigures, Figures
+from pebbledrift.core.figures import ClassCounters, Counters
 from pebbledrift.core.states import NodeStates, State
 from pebbledrift.cores import mailbox
 from pebbledrift.cores.board import Board, BoardFull
@@ -83,7 +83,7 @@
         self.bans: set[str] = set()
         self.follower = Follower(config, self.clock, self._news, self._rely)
         self.states = NodeStates(self._could_serve)
-        self.counted = Figures(len(config.classes))  # of cores that have died; conf_ of the node
+        self.counted = Counters(len(config.classes))  # of cores that have died; conf_ of the node
         self.admin = LineServer(config.limits, AdminFront(config.classes, self).answer)
         self.reloader = Reloader(config, read_again, self._apply, self.counted)
         self.listener: socket.socket | None = None
@@ -461,7 +461,7 @@
         listed = {worker_number(uid) for uid in self.roster.targets}
         extra = max(0, told[0].listed - len(listed))
         out = self.board.avoided() | {worker_number(uid) for uid in self.bans}
-        classes = [ClassFigures(p.served, p.refused, p.failed, p.sends) for p in self.counted.classes]
+        classes = [ClassCounters(p.served, p.refused, p.failed, p.sends) for p in self.counted.classes]
         for core in told:
             _add(classes, core)
         return NodeFigures(
@@ -516,7 +516,7 @@
         self.loop.call_later(1.0, self._look)
 
 
-def _add(classes: list[ClassFigures], core: CoreFigures) -> None:
+def _add(classes: list[ClassCounters], core: CoreFigures) -> None:
     for total, counted in zip(classes, core.classes, strict=True):
         total.served += counted.served
         total.refused += counted.refused
--- a/pebbledrift/duties/__init__.py
+++ b/pebbledrift/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Periodic work that is divided among the nodes of a group: the logic without I/O."""
+"""Division of periodic work among the nodes of a group: the logic, without I/O."""
--- a/pebbledrift/duties/plan.py
+++ b/pebbledrift/duties/plan.py
@@ -1,19 +1,20 @@
-"""Who does which periodic work, and when. No I/O.
-
-Compared: every node for itself (as many probes as nodes), a leader that assigns (nothing is done until the
-next one is elected, and its word must reach all), and hashing over the members that are held for alive,
-which needs no message at all and is what stands here. Each unit of work has an order of the members by
-rendezvous hashing (Thaler and Ravishankar, 1998); when a member comes or goes, only the units that it has or
-had change hands.
-
-The first in the order does the unit every period. The r-th does it when nothing has been heard of it for (1
-+ WAIT r) periods: the second watches the first, the third both. That needs no verdict on anybody's death, so
-that a unit is taken over before a suspicion is confirmed; where views differ or news is lost, a unit is done
-twice now and then, and never left for long.
-
-A member acts under a lease that it gives itself: it has to have heard from the group within `lease` ms of
-its own clock, or to be alone by its own view for that long. One that was stopped finds its lease over when
-it goes on, and does nothing until it has heard from the group again.
+"""Decides which member performs which periodic work, and when. No I/O.
+
+Three designs were compared. With every node working for itself, the number of probes grows with the number
+of nodes. With a leader that assigns work, nothing is done until a successor is elected, and the assignment
+must reach all members. Hashing over the members believed alive needs no messages, and is used here. For
+each unit of work the members are ordered by rendezvous hashing (Thaler and Ravishankar, 1998). When a
+member joins or leaves, only the units that it has or had change owner.
+
+The first member in the order performs the unit every period. The member at rank r (from 0) performs it when
+no completion has been reported for (1 + TAKEOVER_DELAY_PERIODS * r) periods: the second member watches the
+first, and the third watches both. This requires no agreement that a member is dead, so a unit is taken over
+before a suspicion is confirmed. If views differ or reports are lost, a unit is occasionally performed twice,
+but it is never left undone for long.
+
+A member acts under a lease that it grants itself: it must have received a message from the group within
+`lease` ms by its own clock, or have been the only member in its view for that long. A member that was
+suspended finds its lease expired when it resumes, and does nothing until it hears from the group again.
 """
 
 from __future__ import annotations
@@ -22,46 +23,48 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-WAIT = 1.2  # periods that each further one in the order waits
-DEEP = 4  # so many in the order take a unit up
+TAKEOVER_DELAY_PERIODS = 1.2  # additional periods that each later member in the order waits
+MAX_CANDIDATES = 4  # members in the order that may perform a unit
 
 
 @dataclass(slots=True)
-class Unit:
-    """One piece of periodic work."""
+class WorkUnit:
+    """One piece of periodic work. Times in ms."""
 
     name: str
     period: float
-    done: float  # when it was last done, by anybody, as far as is known
+    last_done_at: float  # latest known completion by any member
     order: tuple[str, ...] = ()
 
 
 class Duties:
-    """One member's part in the work. Times in ms of a clock that never goes back."""
+    """One member's share of the work. Times are in ms of a clock that never goes backwards."""
 
-    def __init__(self, me: str, lease: float = 2000.0, late: float = 1000.0) -> None:
+    def __init__(self, me: str, lease: float = 2000.0, max_pause: float = 1000.0) -> None:
         self.me = me
         self.lease = lease
-        self.late = late  # a clock that jumps by more between two looks: this member was stopped
-        self.units: dict[str, Unit] = {}
+        self.max_pause = (
+            max_pause  # a longer time between two calls of claim_due means this member was suspended
+        )
+        self.units: dict[str, WorkUnit] = {}
         self._members: tuple[str, ...] = (me,)
         self._alone_since = 0.0
-        self._heard = -1e18
-        self._last = -1e18
+        self._last_contact_at = -1e18
+        self._last_checked_at = -1e18
 
     def set_units(self, units: dict[str, float], now: float) -> None:
-        """The work there is, with its periods; what goes on keeps what is known of it."""
+        """Sets the units of work and their periods. Units that remain keep their last completion."""
         for name in [n for n in self.units if n not in units]:
             del self.units[name]
         for name, period in units.items():
-            known = self.units.get(name)
-            if known is None:
-                self.units[name] = Unit(name, period, now, self._order(name))
+            existing = self.units.get(name)
+            if existing is None:
+                self.units[name] = WorkUnit(name, period, now, self._order(name))
             else:
-                known.period = period
+                existing.period = period
 
     def set_members(self, alive: Iterable[str], now: float) -> None:
-        """Whom this member holds for alive, itself included."""
+        """Sets the members believed alive. This member is always included."""
         members = tuple(sorted({*alive, self.me}))
         if members == self._members:
             return
@@ -71,48 +74,48 @@
         for unit in self.units.values():
             unit.order = self._order(unit.name)
 
-    def heard(self, now: float) -> None:
-        """Another member has spoken, and it was no recording."""
-        self._heard = now
+    def record_contact(self, now: float) -> None:
+        """Records a message from another member that is not a replay of an earlier one."""
+        self._last_contact_at = now
 
-    def done(self, name: str, when: float) -> None:
-        """A unit was done by somebody, at this time of this member's clock. Old news changes nothing."""
+    def record_done(self, name: str, when: float) -> None:
+        """Records that a member performed a unit at `when` by the local clock. Older times are ignored."""
         unit = self.units.get(name)
         if unit is not None:
-            unit.done = max(unit.done, when)
+            unit.last_done_at = max(unit.last_done_at, when)
 
-    def may_act(self, now: float) -> bool:
-        """Whether this member's lease holds."""
+    def lease_valid(self, now: float) -> bool:
+        """Returns whether this member's lease is valid."""
         if len(self._members) == 1:
             return now - self._alone_since >= self.lease
-        return now - self._heard <= self.lease
+        return now - self._last_contact_at <= self.lease
 
-    def due(self, now: float) -> list[str]:
-        """The units that this member has to do now; they count as done by it."""
-        if now - self._last > self.late:
-            # guards the group against one that was stopped: what it held may have changed hands since
-            self._heard = -1e18
+    def claim_due(self, now: float) -> list[str]:
+        """Returns the units that this member must perform now, and records them as done."""
+        if now - self._last_checked_at > self.max_pause:
+            # This member was suspended, and its units may have changed owner in the meantime.
+            self._last_contact_at = -1e18
             self._alone_since = now
-        self._last = now
-        if not self.may_act(now):
+        self._last_checked_at = now
+        if not self.lease_valid(now):
             return []
-        found = []
+        due = []
         for unit in self.units.values():
             if self.me not in unit.order:
                 continue
             rank = unit.order.index(self.me)
-            if now - unit.done >= unit.period * (1 + WAIT * rank):
-                unit.done = now
-                found.append(unit.name)
-        return found
+            if now - unit.last_done_at >= unit.period * (1 + TAKEOVER_DELAY_PERIODS * rank):
+                unit.last_done_at = now
+                due.append(unit.name)
+        return due
 
     def owner(self, name: str) -> str | None:
-        """Who should do a unit, in this member's view."""
+        """Returns the first member in the order of a unit, by this member's view."""
         unit = self.units.get(name)
         return unit.order[0] if unit is not None and unit.order else None
 
     def _order(self, unit: str) -> tuple[str, ...]:
-        return tuple(sorted(self._members, key=lambda m: _score(m, unit), reverse=True)[:DEEP])
+        return tuple(sorted(self._members, key=lambda m: _score(m, unit), reverse=True)[:MAX_CANDIDATES])
 
 
 def _score(member: str, unit: str) -> bytes:
--- a/pebbledrift/fleet/neighbours.py
+++ b/pebbledrift/fleet/neighbours.py
@@ -9,7 +9,7 @@
 
 from pebbledrift.config import Address, Config
 from pebbledrift.core.clock import Clock
-from pebbledrift.core.model import TURN_LATE_MS, Claim
+from pebbledrift.core.model import MAX_SLICE_OVERRUN_MS, Claim
 from pebbledrift.fleet.fills import FORM, Fills
 from pebbledrift.fleet.parts import FORM as PART_FORM
 from pebbledrift.fleet.parts import Parts, Place
@@ -98,21 +98,21 @@
         """Each node has its own list."""
         return False
 
-    def take_cold(self, worker: int, turn: int, work: float, most: float) -> bool:
+    def spend_cold_budget(self, worker: int, turn: int, work: float, most: float) -> bool:
         """The budget of a cold worker is divided by turns; what is leased may be over since the decision."""
         return self.lessee is None or self.lessee.holds()
 
-    def turn_over(self, turn: int) -> bool:
+    def slice_expired(self, turn: int) -> bool:
         """Whether a turn has passed, but for the time that a send takes to begin."""
         now = self.clock.common_ms()
-        late = now > (turn + 1) * self.settings.fall_ms + TURN_LATE_MS
+        late = now > (turn + 1) * self.settings.fall_ms + MAX_SLICE_OVERRUN_MS
         return late or (self.lessee is not None and not self.lessee.holds())
 
-    def places(self) -> tuple[tuple[int, ...], float] | None:
+    def owned_slices(self) -> tuple[tuple[int, ...], float] | None:
         """Whose turns are ours, where they are held under leases and have changed."""
         return self.lessee.changed() if self.lessee is not None else None
 
-    def filled(self, worker: int, slots: float) -> None:
+    def add_filled_slots(self, worker: int, slots: float) -> None:
         """Have it told, together with what else changes shortly."""
         self.told[worker % self.parts].filled(worker, slots)
         self._tell_in(self.limits.fills_gather_ms)
--- a/pebbledrift/fronts/admin.py
+++ b/pebbledrift/fronts/admin.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from pebbledrift.core.figures import ClassFigures
+from pebbledrift.core.figures import ClassCounters
 from pebbledrift.core.states import State
 
 log = logging.getLogger(__name__)
@@ -17,7 +17,7 @@
 class NodeFigures:
     """What METRICS tells, of the whole node: counts by class, then levels of now, then counts of reloads."""
 
-    classes: list[ClassFigures]
+    classes: list[ClassCounters]
     current: int
     cluster_size: int
     cluster_unhealthy: int
--- a/pebbledrift/fronts/beanstalk.py
+++ b/pebbledrift/fronts/beanstalk.py
@@ -93,23 +93,23 @@
     def send(self, attempt: Attempt) -> None:
         if not self.waiting:
             # the reserve has gone since the module counted it: nothing was handed out
-            self.front.engine.ended(attempt, api.OutcomeKind.REFUSED, report=self.report())
+            self.front.engine.attempt_ended(attempt, api.OutcomeKind.REFUSED, report=self.report())
             return
         session, _ = self.waiting.popitem(last=False)
         self.front.hand_out(attempt, session)
 
-    def cancel(self, attempt: Attempt, heard: Callable[[], None] | None = None) -> None:
+    def cancel(self, attempt: Attempt, on_acknowledged: Callable[[], None] | None = None) -> None:
         self.front.taken_back(attempt)
-        if heard is not None:
-            heard()
+        if on_acknowledged is not None:
+            on_acknowledged()
 
     def probe(self) -> None:
-        self.front.engine.probed(self.number, True, 0.0, self.report())
+        self.front.engine.probe_ended(self.number, True, 0.0, self.report())
 
-    def taken(self, attempt: Attempt) -> bool:
+    def accepted(self, attempt: Attempt) -> bool:
         return False  # it ends with the connection, which this process holds
 
-    def recall(self) -> None:
+    def withdraw_unsent(self) -> None:
         """Nothing is ever under way: a job is handed out at once, or not at all."""
 
     def report(self) -> api.Report:
@@ -385,8 +385,8 @@
             self.by_operation[operation.id] = job
         job.attempt = attempt
         self._give(job, session)
-        self.engine.sent_whole(attempt)
-        self.engine.noted(attempt, api.Progress.STARTED, 0.0)
+        self.engine.request_written(attempt)
+        self.engine.progress_reported(attempt, api.Progress.STARTED, 0.0)
 
     def taken_back(self, attempt: Attempt) -> None:
         """The core has given the attempt up: the holder's delete, release or bury then finds nothing."""
@@ -413,7 +413,7 @@
         """Put and still in its delay: its answer is owed all the same."""
         if job.mapping is not None:
             self.never_begun(self._operation_id(job), job.mapping)
-            self.engine.figures.answered(job.mapping.job_class, Verdict.REFUSED)
+            self.engine.counters.answered(job.mapping.job_class, Verdict.REFUSED)
             self.post_answer(job.id, job.mapping, Answer(Verdict.REFUSED, reason=reason))
 
     def _give_back(self, job: Job, kind: api.OutcomeKind) -> None:
@@ -422,7 +422,7 @@
         self._unhold(job)
         self._set(job, "ready")
         if attempt is not None:
-            self.engine.ended(attempt, kind)
+            self.engine.attempt_ended(attempt, kind)
             if attempt.operation.answer is not None and job.id not in self.buried:
                 self._forget(job)
 
@@ -611,7 +611,7 @@
         if job.state == "reserved" and attempt is not None:
             result = job.result
             self._unhold(job)
-            self.engine.ended(attempt, api.OutcomeKind.SERVED, result)  # the worker is done
+            self.engine.attempt_ended(attempt, api.OutcomeKind.SERVED, result)  # the worker is done
             self._forget(job)
         elif operation is not None and operation.answer is None:
             self.engine.withdraw(operation, "deleted")
--- a/pebbledrift/fronts/platform.py
+++ b/pebbledrift/fronts/platform.py
@@ -117,7 +117,7 @@
         job = headers.get("x-call-id", "")
         if not ID.match(job):
             raise Rejected(400, "X-Call-Id: missing or malformed")
-        if self.engine.knows(job) and not adopted:
+        if self.engine.is_known(job) and not adopted:
             # guards the owner of an id: a foreign request under it is not run and gets none of its answer
             raise Rejected(409, "X-Call-Id: in use")
         job_class = self.classes[name]
@@ -169,7 +169,7 @@
         """Give the jobs that workers have taken to the process that comes after, with their connections."""
         for socket, (operation, _) in list(self.owed.items()):
             message = socket.current
-            known = self.engine.portable(operation)
+            known = self.engine.export_state(operation)
             if message is None or socket.parser.inside or known is None:
                 continue
             job = {"left_ms": operation.expires_ms - self.clock.now_ms(), "module": known}
@@ -190,7 +190,7 @@
             raise Rejected(400, "malformed call-back") from error
         if not isinstance(job, str) or not isinstance(uid, str) or not isinstance(state, str):
             raise Rejected(400, "malformed call-back")
-        attempt = self.engine.attempt_of(job, worker_number(uid))
+        attempt = self.engine.latest_attempt(job, worker_number(uid))
         if attempt is None:
             if passed < 2:
                 self.elsewhere({"kind": "back", "passed": passed + 1}, body)
@@ -200,13 +200,13 @@
         if state in OUTCOMES:
             result = news.get("result", "")
             body = result.encode() if isinstance(result, str) else json.dumps(result).encode()
-            self.engine.ended(attempt, OUTCOMES[state], body, read_report(news.get("load")))
+            self.engine.attempt_ended(attempt, OUTCOMES[state], body, read_report(news.get("load")))
         elif state == "started":
-            self.engine.noted(attempt, api.Progress.STARTED, 0.0)
+            self.engine.progress_reported(attempt, api.Progress.STARTED, 0.0)
         elif state == "running":
             share = news.get("share")
             done = float(share) if isinstance(share, int | float) else 0.0
-            self.engine.noted(attempt, api.Progress.SHARE_DONE, done)
+            self.engine.progress_reported(attempt, api.Progress.SHARE_DONE, done)
 
 
 class SocketRecipient:
@@ -225,7 +225,7 @@
         if answer.verdict is Verdict.REFUSED and answer.retry_after_ms > 0:
             headers["Retry-After"] = f"{answer.retry_after_ms / 1000:.3f}"
         body = answer.result if answer.verdict is Verdict.SERVED else answer.reason.encode()
-        if answer.in_use:
+        if answer.id_in_use:
             self.socket.reject(409, body)
         else:
             self.socket.answer(STATUS[answer.verdict], headers, body)
--- a/pebbledrift/limits/service.py
+++ b/pebbledrift/limits/service.py
@@ -90,11 +90,11 @@
         for form in (SUM, ASK, GRANT):
             group.endpoint.others[form] = self._reader(form)
         group.ticks.append(self._tick)
-        engine.advisers.append(lambda: list(self.book.advise(group.now())))
-        engine.decided = self._decided
+        engine.event_sources.append(lambda: list(self.book.advise(group.now())))
+        engine.on_step = self._decided
         engine.limits_of = lambda operation: self.book.counts(operation.tenant, operation.job_class)
         engine.observers.append(self._seen)
-        engine.outcome_heard.append(self._outcome)
+        engine.outcome_listeners.append(self._outcome)
         self.loans: TurnLoans | None = None
         self.lent: LentTurns | None = None
         if config.lend_turns:
@@ -194,7 +194,7 @@
         for change in changes:
             log.warning("limit changed", extra={"limit": change})
         self.config = config
-        self.engine.step_soon()  # the module is told before the next job comes
+        self.engine.schedule_step()  # the module is told before the next job comes
 
     def lines(self) -> list[str]:
         """What LIMITS tells."""
--- a/pebbledrift/membership/service.py
+++ b/pebbledrift/membership/service.py
@@ -180,7 +180,7 @@
         self._look(now)
         self._lend(now)
         if self.conduct.duties and self.table.duties:
-            for unit in self.duties.due(now):
+            for unit in self.duties.claim_due(now):
                 self.perform(unit)
         for listener in self.ticks:
             listener(now)
@@ -218,7 +218,7 @@
         )
 
     def _heard(self, now: float) -> None:
-        self.duties.heard(now)
+        self.duties.record_contact(now)
 
     def answers(self, address: Address) -> bool:
         """Whether whoever is at an address may be there; yes where nothing is known."""
@@ -347,7 +347,7 @@
 
     def _reported(self, now: float, sender: str, body: bytes) -> None:
         told = unpack_report(body)
-        self.duties.done(f"probe {told.worker:x}", now - told.age_ms)
+        self.duties.record_done(f"probe {told.worker:x}", now - told.age_ms)
         self.learned(told)
 
     # -- datagrams
@@ -380,7 +380,7 @@
                 f" word={m.word_ms / 1000:.1f}s heard={_seconds(m.heard_ms)}"
             )
         for unit in sorted(self.duties.units):
-            done = _seconds(now - self.duties.units[unit].done)
+            done = _seconds(now - self.duties.units[unit].last_done_at)
             found.append(f"duty {unit} owner={self.duties.owner(unit) or '-'} done={done}")
         return found
 
--- a/pebbledrift/membership/work.py
+++ b/pebbledrift/membership/work.py
@@ -23,7 +23,7 @@
         self.out: set[int] = set()  # workers that this node probes by duty now
         group.perform = self._perform
         group.learned = self._learned
-        engine.probe_heard = self._heard
+        engine.on_probe_result = self._heard
         pool.listeners.append(self._listed)
         self._listed()
 
@@ -46,4 +46,4 @@
     def _learned(self, told: Learned) -> None:
         """Another node has probed."""
         if told.ok and told.age_ms <= AGE_MOST_MS and told.report:
-            self.engine.told_load(told.worker, told.took_ms, told.report)
+            self.engine.peer_load_received(told.worker, told.took_ms, told.report)
--- a/pebbledrift/net/destinations.py
+++ b/pebbledrift/net/destinations.py
@@ -417,12 +417,12 @@
 
     def send(self, attempt: Attempt) -> None:
         if not self.engine.may_write(attempt):
-            self.engine.ended(attempt, api.OutcomeKind.NOT_SENT)
+            self.engine.attempt_ended(attempt, api.OutcomeKind.NOT_SENT)
             return
         exchange = Exchange(
             lambda: self._request(attempt),
             lambda message, kind: self._answered(attempt, message, kind),
-            lambda: self.engine.sent_whole(attempt),
+            lambda: self.engine.request_written(attempt),
             lambda: self.engine.may_write(attempt),
         )
         self.exchanges[attempt] = exchange
@@ -439,21 +439,21 @@
             headers["Idempotency-Key"] = work.repeat_key
         return request("POST", work.target, headers, work.body)
 
-    def cancel(self, attempt: Attempt, heard: Callable[[], None] | None = None) -> None:
+    def cancel(self, attempt: Attempt, on_acknowledged: Callable[[], None] | None = None) -> None:
         exchange = self.exchanges.get(attempt)
         if exchange is not None:
-            if heard is not None and exchange.withdraw():
+            if on_acknowledged is not None and exchange.withdraw():
                 # the job may go again: the worker's end of the connection, or its answer, ends the attempt
                 return
             del self.exchanges[attempt]
             exchange.give_up()  # before the 202: closing the connection gives the attempt up
-            if heard is not None:
-                heard()
+            if on_acknowledged is not None:
+                on_acknowledged()
             return
 
         def answered(message: Message | None, kind: api.OutcomeKind) -> None:
-            if message is not None and heard is not None:
-                heard()
+            if message is not None and on_acknowledged is not None:
+                on_acknowledged()
 
         data = request("DELETE", f"/jobs/{attempt.operation.id}", {"Host": self.host})
         recall = Exchange(lambda: data, answered)
@@ -465,7 +465,7 @@
         def done(message: Message | None, kind: api.OutcomeKind) -> None:
             ok = message is not None and message.status == 200
             report = read_report(bytes(message.body)) if message is not None and ok else None
-            self.engine.probed(self.worker, ok, self.clock.now_ms() - began, report)
+            self.engine.probe_ended(self.worker, ok, self.clock.now_ms() - began, report)
 
         def late() -> None:
             exchange.give_up()
@@ -475,10 +475,10 @@
         exchange = Exchange(lambda: data, done)
         self.pool.start(exchange, self.limits.probe_ms, late)
 
-    def taken(self, attempt: Attempt) -> bool:
+    def accepted(self, attempt: Attempt) -> bool:
         return attempt not in self.exchanges
 
-    def recall(self) -> None:
+    def withdraw_unsent(self) -> None:
         """Guards a worker that is taken out: sends that wait for a connection must not arrive later."""
         for exchange in list(self.exchanges.values()):
             if exchange.connection is None:
@@ -491,7 +491,7 @@
     def _answered(self, attempt: Attempt, message: Message | None, kind: api.OutcomeKind) -> None:
         self.exchanges.pop(attempt, None)
         if message is None:
-            self.engine.ended(attempt, kind)
+            self.engine.attempt_ended(attempt, kind)
             return
         if message.status == 202:
             self.turned_down = 0
@@ -503,10 +503,10 @@
             log.info("turned down", extra={"status": message.status, "id": attempt.operation.id})
             if self.turned_down <= self.limits.turned_down:
                 # guards the worker's good name: the fault is the request's, and any other worker's answer too
-                self.engine.unusable(attempt, report)
+                self.engine.request_invalid(attempt, report)
                 return
         outcome = api.OutcomeKind.REFUSED if rejected else api.OutcomeKind.ERROR
-        self.engine.ended(attempt, outcome, report=report)
+        self.engine.attempt_ended(attempt, outcome, report=report)
 
     def _not_taken(self, attempt: Attempt) -> None:
         """No 202 in time: the connection is closed, which gives the attempt up, but it may have run.
@@ -520,4 +520,4 @@
         exchange = self.exchanges.pop(attempt, None)
         if exchange is not None:
             exchange.give_up()
-            self.engine.ended(attempt, api.OutcomeKind.TIMED_OUT)
+            self.engine.attempt_ended(attempt, api.OutcomeKind.TIMED_OUT)
--- a/pebbledrift/node.py
+++ b/pebbledrift/node.py
@@ -80,20 +80,20 @@
             patience = limits.ready_without_watch_ms if alone else limits.ready_above_elder_ms
             waited = self.clock.now_ms() - began >= patience
             informed = follower.heard or (self.upgrade.informed and follower.current)
-            return self.pool.serves() and (informed or waited)
+            return self.pool.any_worker_up() and (informed or waited)
 
         self.states = NodeStates(could_serve)
         self.front = PlatformFront(config, self.engine, self.clock, self.states)
         self.fronts = FrontServer(config.limits, self.front)
         self.upgrade = Upgrade(config, self.engine, self.pool, self.states, self.front, self.fronts)
         # what goes over to a newer process is not closed here
-        self.states.changed.append(
+        self.states.listeners.append(
             lambda: self.fronts.empty(
-                self.states.paused or (self.states.stopping and not self.states.succeeded)
+                self.states.paused or (self.states.stopping and not self.states.replaced)
             )
         )
         self.admin = LineServer(config.limits, AdminFront(config.classes, self).answer)
-        self.reloader = Reloader(config, read_again, self.apply, self.engine.figures)
+        self.reloader = Reloader(config, read_again, self.apply, self.engine.counters)
         self.peers: PeerSocket | None = None
         self.membership: Membership | None = None
         self.judging: Verdicts | None = None
@@ -126,7 +126,7 @@
     async def meet(self) -> None:
         """Meet who is there already: the list as last known, peers, an older process, the operators."""
         config = self.config
-        self.pool.begin(config.known)
+        self.pool.load_cached(config.known)
         peers = None
         if config.peer_listen is not None and (config.peers or config.membership is not None):
             self.peers = peers = PeerSocket(config.limits, config.peers)
@@ -154,7 +154,7 @@
     def _recall(self, store: NodeStore) -> None:
         """What was taken away in an earlier life holds at once: bans, and a pause."""
         for uid in store.recall("bans") or ():
-            self.pool.lay_ban(str(uid), True)
+            self.pool.set_ban(str(uid), True)
         if store.recall("paused"):
             self._paused = True
             self.states.pause(True)
@@ -184,7 +184,7 @@
         if self.fleet is not None:
             self.fleet.answers = group.answers
             self.fleet.lessee = Leased(group) if table.parts == "leased" else None
-            self.engine.leased = self.fleet.lessee is not None
+            self.engine.uses_slice_leases = self.fleet.lessee is not None
         if self.store.replica is not None:
             self.store.replica.answers = group.answers
             self.store.replica.repairs = lambda: group.conduct.repair
@@ -200,11 +200,11 @@
             from pebbledrift.limits.service import FleetLimits
 
             self.limiting = FleetLimits(
-                self.config.fleet_limits, group, self.engine, secret, self.pool.any_cold
+                self.config.fleet_limits, group, self.engine, secret, self.pool.has_cold_workers
             )
             if self.limiting.lent is not None and self.fleet is not None:
                 self.fleet.lessee = self.limiting.lent
-                self.engine.leased = True
+                self.engine.uses_slice_leases = True
         if self.config.store is not None:
             await self._join_log(self.config.store, table, secret)
         group.start()
@@ -261,15 +261,15 @@
         log.info("stopping", extra={"open": len(self.engine.open)})
         # answers from here on close their connections, unless these go over to a newer process
         self.states.stop()
-        self.engine.ends_ms = self.clock.now_ms() + self._last_answer_ms()
-        if not self.states.succeeded:
+        self.engine.shutdown_deadline_ms = self.clock.now_ms() + self._last_answer_ms()
+        if not self.states.replaced:
             await asyncio.sleep(limits.take_ms / 1000)
             self.front.taking = False
             await asyncio.sleep(max(0.0, limits.linger_ms - limits.take_ms) / 1000)
         # the listening socket stays: the workers' call-backs for what is still open come in there
         if self.tubes is not None:
             self.tubes.stop()
-        if self.states.succeeded:  # the newer process may have said so after the signal
+        if self.states.replaced:  # the newer process may have said so after the signal
             await self.upgrade.leave()
         await self.engine.drained()
         await self.fronts.flushed()
@@ -345,7 +345,7 @@
         """An operator's word for all nodes, and who has obeyed."""
         if self.judging is None:
             raise NotObeyed("this node speaks for itself alone ([verdicts])")
-        if uid is not None and uid not in self.pool.fleet_bans and not self.pool.names(uid):
+        if uid is not None and uid not in self.pool.fleet_bans and not self.pool.is_known(uid):
             raise NotObeyed("unknown worker")
         try:
             return await self.judging.speak(uid or "", out)
@@ -368,12 +368,12 @@
 
     async def figures(self) -> NodeFigures:
         """The figures of this process, which is the node."""
-        figures, listed = self.engine.figures, self.pool.listed()
+        figures, listed = self.engine.counters, self.pool.listed_workers()
         return NodeFigures(
             classes=figures.classes,
             current=figures.current,
             cluster_size=len(listed),
-            cluster_unhealthy=len(listed & (self.engine.avoided() | self.pool.banned)),
+            cluster_unhealthy=len(listed & (self.engine.avoided_workers() | self.pool.banned)),
             conf_loaded=figures.conf_loaded,
             conf_invalid=figures.conf_invalid,
             more={
@@ -418,7 +418,7 @@
     def inventory_changed(hosts: list[Host]) -> None:
         entries = tubes.take_inventory(hosts)
         found: dict[int, Destination] = {w.number: w for w in tubes.workers.values()}
-        pool.take_inventory(entries, found)
+        pool.apply_inventory(entries, found)
 
     def recovered(job: str, origin: str, answer: Answer) -> None:
         number = job.rpartition(".")[2]
--- a/pebbledrift/reload.py
+++ b/pebbledrift/reload.py
@@ -9,7 +9,7 @@
 
 from pebbledrift import inventory
 from pebbledrift.config import Config, ConfigError
-from pebbledrift.core.figures import Figures
+from pebbledrift.core.figures import Counters
 from pebbledrift.inventory import Host, InventoryError
 from pebbledrift.store.table import StoreError
 
@@ -28,7 +28,7 @@
         config: Config,
         read: Callable[[], Config],
         apply: Callable[[Config, list[Host]], None],
-        figures: Figures,
+        figures: Counters,
     ) -> None:
         self.config = config
         self.read = read
--- a/pebbledrift/upgrade.py
+++ b/pebbledrift/upgrade.py
@@ -85,7 +85,7 @@
 
     async def may_serve(self) -> None:
         """Wait until this process could serve, or is the only one."""
-        while self.elder is not None and not self.states.could_serve():
+        while self.elder is not None and not self.states.can_serve():
             await asyncio.sleep(AGAIN_S)
 
     async def once_free(self, listen: Callable[[], Awaitable[None]]) -> None:
@@ -112,7 +112,7 @@
         except OSError as error:
             log.warning("no meeting place", extra={"error": str(error)})
         if self.elder is not None:
-            self.engine.pass_turns(2)  # the older process may send to cold workers until it has heard
+            self.engine.skip_time_slices(2)  # the older process may send to cold workers until it has heard
             self.elder.send({"kind": "serving"})
 
     def tell(self, fields: Fields) -> None:
@@ -159,7 +159,7 @@
         match fields["kind"]:
             case "state":
                 for uid in fields["bans"]:
-                    self.pool.lay_ban(str(uid), True)
+                    self.pool.set_ban(str(uid), True)
                 self.states.pause(bool(fields["paused"]))
                 self._heard.set()
             case "list":
@@ -174,7 +174,7 @@
                 # what came just before has to be entered here before call-backs are passed on no more
                 asyncio.get_running_loop().call_later(LET_GO_S, self._let_go)
             case "ids":
-                self.engine.elsewhere.update(fields["ids"])
+                self.engine.predecessor_ids.update(fields["ids"])
             case "socket" | "job" if descriptor is not None:
                 self.fronts.adopt(descriptor, fields, body)
             case _:
@@ -188,7 +188,7 @@
     def _elder_lost(self) -> None:
         log.info("the older process has ended")
         self.elder = None
-        self.engine.elsewhere.clear()
+        self.engine.predecessor_ids.clear()
         self._share(self.heir is not None)
         self._lost.set()
         if self._heard.is_set():
@@ -199,7 +199,7 @@
             case "back":
                 self.front.called_back(body, int(fields["passed"]))
             case "ban":
-                self.pool.lay_ban(str(fields["uid"]), bool(fields["banned"]))
+                self.pool.set_ban(str(fields["uid"]), bool(fields["banned"]))
             case "pause":
                 self.states.pause(bool(fields["paused"]))
             case kind:
@@ -215,7 +215,7 @@
         self._share(True)
         self.heir = Link(end, self._from_heir, self._heir_lost)
         self.heir.send({"kind": "state", "bans": sorted(self.pool.bans), "paused": self.states.paused})
-        self._relay(self.pool.whole())
+        self._relay(self.pool.snapshot())
 
     def _relay(self, news: Mapping[str, Any]) -> None:
         """Tell the heir what discovery says here, for as long as it has not heard discovery itself."""
@@ -235,13 +235,13 @@
         assert self.heir is not None
         self.place.close()
         self.fronts.rest(True)
-        self.engine.pass_turns(0)
+        self.engine.skip_time_slices(0)
         self.heir.send({"kind": "learned"}, json.dumps(self.engine.learned()).encode())
         ids = list(self.engine.open)
         for i in range(0, len(ids), IDS):
             self.heir.send({"kind": "ids", "ids": ids[i : i + IDS]})
         self.fronts.heir = self.heir.send_descriptor
-        self.states.succeed(True)
+        self.states.set_replaced(True)
         self._giving = asyncio.get_running_loop().create_task(self._give())
 
     async def _give(self) -> None:
@@ -259,11 +259,11 @@
         if self._giving is not None:
             self._giving.cancel()
             self._giving = None
-        if not self.states.succeeded:
+        if not self.states.replaced:
             log.warning("the newer process has ended before it served")
             return
         log.error("the newer process has ended: this one serves again")
-        self.states.succeed(False)
-        self.engine.pass_turns(2)
+        self.states.set_replaced(False)
+        self.engine.skip_time_slices(2)
         self.fronts.rest(False)
         self.place.listen(self._met)
--- a/pebbledrift/verdicts/service.py
+++ b/pebbledrift/verdicts/service.py
@@ -86,8 +86,8 @@
         endpoint.others[OBEYED] = self._obeyed
         endpoint.others[DIGEST] = self._compared
         group.ticks.append(self._tick)
-        engine.outcome_heard.append(self._outcome)
-        engine.advisers.append(self._advise)
+        engine.outcome_listeners.append(self._outcome)
+        engine.event_sources.append(self._advise)
         pool.listeners.append(self._listed)
         self._listed()
 
@@ -119,9 +119,9 @@
     def _slow(self, attempt: Attempt) -> bool:
         """Whether a job ran for several times what jobs take here, by their hints."""
         hint = attempt.operation.hint_ms
-        if not hint or attempt.began_ms <= 0:
+        if not hint or attempt.started_ms <= 0:
             return False
-        ratio = (self.engine.clock.now_ms() - attempt.began_ms) / hint
+        ratio = (self.engine.clock.now_ms() - attempt.started_ms) / hint
         slow = ratio > SLOW_TIMES * max(1.0, self.pace)
         # one worker's slowness must not become the measure of all
         self.pace += PACE_PART * (min(ratio, SLOW_TIMES * max(1.0, self.pace)) - self.pace)
@@ -159,7 +159,7 @@
             self._send(DIGEST, bytes([ASK]) + self.words.digest(), [self._random.choice(up)])
         self._show_starts(now)
         if self._wanted(now) != self._shown:
-            self.engine.step_soon()
+            self.engine.schedule_step()
 
     def _say(self, before: set[int]) -> None:
         """The log has a line for each change of what is out by verdict."""
@@ -208,7 +208,7 @@
         known = {worker: at for worker, at in started.items() if at <= latest}
         if known != self._cold_shown:
             self._cold_shown = known
-            self.pool.show_starts(known)
+            self.pool.apply_later_starts(known)
 
     # -- statements
 
@@ -278,7 +278,7 @@
         if uid == ALL:
             self.paused_by_all(banned)
         else:
-            self.pool.lay_ban(uid, banned, fleet=True)
+            self.pool.set_ban(uid, banned, fleet=True)
 
     def _told(self, now: float, sender: str, body: bytes) -> None:
         uid, subject = unpack(body[_NUMBER.size :])
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -25,8 +25,8 @@
         self.world, self.name = world, name
         self.endpoint = world.endpoints[name]
         self.duties = Duties(name)
-        self.endpoint.heard = self.duties.heard
-        self.endpoint.others[NEWS] = lambda now, sender, body: self.duties.done(body.decode(), now)
+        self.endpoint.heard = self.duties.record_contact
+        self.endpoint.others[NEWS] = lambda now, sender, body: self.duties.record_done(body.decode(), now)
         self.begun = False
 
     def tick(self, now: float) -> Datagrams:
@@ -36,7 +36,7 @@
         sends = self.endpoint.tick(now)
         alive = self.endpoint.group.alive()
         self.duties.set_members(alive, now)
-        for unit in self.duties.due(now):
+        for unit in self.duties.claim_due(now):
             self.world.log.append((self.world.network.now, unit, self.name))
             sends += self.endpoint.tell(NEWS, unit.encode(), [n for n in alive if n != self.name])
         return sends
@@ -125,7 +125,7 @@
         self.assertEqual([e for e in world.since(began) if e[2] == "n0"], [])
         world.network.cut = lambda a, b: False
         world.network.run(4000)
-        self.assertTrue(stalled.duties.may_act(stalled.duties._last))
+        self.assertTrue(stalled.duties.lease_valid(stalled.duties._last_checked_at))
         self.assertTrue([e for e in world.since(began) if e[2] == "n0"])
 
     def test_each_half_of_a_cut_group_watches_everything(self) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from pebbledrift.core.view import avoided as avoided_by
+from pebbledrift.core.view import avoided_workers as avoided_by
 from spoolpier import Dispatcher
 from spoolpier import interface as api
 from spoolpier.handover import learn, learned
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -352,7 +352,7 @@
         self.assertEqual(known.parts, 5)
         for worker in WORKERS[:6]:
             told.out.clear()
-            neighbours.filled(worker, 1.0)
+            neighbours.add_filled_slots(worker, 1.0)
             while not told.out:
                 await asyncio.sleep(0.001)
             to = [peer[1] - 1000 for _, peer in told.out]
--- a/tests/test_list_scale.py
+++ b/tests/test_list_scale.py
@@ -58,7 +58,7 @@
 class Unheard:
     """In the engine's place."""
 
-    def pool_changed(self, news: api.WorkerList) -> None:
+    def worker_list_changed(self, news: api.WorkerList) -> None:
         """Nothing."""
 
 
@@ -68,7 +68,7 @@
     config = Config("n7", known, Limits(**more), ("a",), (), (), ("m",), 1, peers=peers)
     pool = PoolConfig(config, Clock())
     pool.engine = cast(Engine, Unheard())
-    pool.take({"rev": 1, "all": True, "targets": [target(i) for i in range(number)]})
+    pool.apply_list({"rev": 1, "all": True, "targets": [target(i) for i in range(number)]})
     return pool, config
 
 
@@ -83,17 +83,21 @@
     async def test_a_drain_that_stands_beside_what_cannot_be_read_is_handed_on(self) -> None:
         for told in ("terminating", "retiring", 7):
             pool, _ = followed(2)
-            pool.take({"rev": 2, "all": False, "targets": [{"uid": "s-1", "state": told, "endpoint": "?"}]})
+            pool.apply_list(
+                {"rev": 2, "all": False, "targets": [{"uid": "s-1", "state": told, "endpoint": "?"}]}
+            )
             newer, _ = followed(0)
-            newer.take(pool.whole(), cached=True)
+            newer.apply_list(pool.snapshot(), cached=True)
             states = {entry.worker: entry.state for entry in newer.entries.values()}
             self.assertEqual(states[worker_number("s-1")], api.WorkerState.DRAINING, told)
             self.assertEqual(states[worker_number("s-0")], api.WorkerState.UP)
 
     async def test_an_end_that_stands_beside_what_cannot_be_read_is_handed_on(self) -> None:
         pool, _ = followed(2)
-        pool.take({"rev": 2, "all": False, "targets": [{"uid": "s-1", "state": "terminated", "endpoint": 1}]})
-        self.assertEqual([held["uid"] for held in pool.whole()["targets"]], ["s-0"])
+        pool.apply_list(
+            {"rev": 2, "all": False, "targets": [{"uid": "s-1", "state": "terminated", "endpoint": 1}]}
+        )
+        self.assertEqual([held["uid"] for held in pool.snapshot()["targets"]], ["s-0"])
 
 
 class ChangeTest(unittest.IsolatedAsyncioTestCase):
@@ -133,11 +137,11 @@
             pool, config = followed(0)
             neighbours = FleetNeighbours(config, pool.clock)
             pool.entry_listeners.append(neighbours.listed)
-            pool.take({"rev": 2, "all": True, "targets": [target(i) for i in range(workers)]})
+            pool.apply_list({"rev": 2, "all": True, "targets": [target(i) for i in range(workers)]})
             neighbours.shares()
             one = next(i for i in range(workers) if pool_module.worker_number(f"s-{i}") % 5 == 2)
             own = {"rev": 3, "all": False, "targets": [target(one, "terminating")]}
-            pool.take(own)  # of this node's own part: the other parts are as they were
+            pool.apply_list(own)  # of this node's own part: the other parts are as they were
             ran[workers] = lines_run("neighbours.py", neighbours.shares)
         self.assertLess(ran[LARGE], 1.5 * ran[SMALL] + 5, ran)
 
@@ -171,14 +175,14 @@
 
     async def test_the_node_keeps_no_connections_and_few_names_of_workers_that_left(self) -> None:
         pool, _ = followed(20)
-        before, pool_module.LEFT_MOST = pool_module.LEFT_MOST, 100
-        self.addCleanup(setattr, pool_module, "LEFT_MOST", before)
+        before, pool_module.MAX_LEFT_WORKERS = pool_module.MAX_LEFT_WORKERS, 100
+        self.addCleanup(setattr, pool_module, "MAX_LEFT_WORKERS", before)
         for i in range(20, 1020):
             gone = target(i - 20, "terminated")
-            pool.take({"rev": i, "all": False, "targets": [gone, target(i)]})
-        self.assertEqual((len(pool.destinations), len(pool.entries), len(pool.left)), (20, 20, 100))
-        self.assertTrue(pool.names("s-999"))  # operators may still name one that left just now
-        self.assertFalse(pool.names("s-1"))
+            pool.apply_list({"rev": i, "all": False, "targets": [gone, target(i)]})
+        self.assertEqual((len(pool.destinations), len(pool.entries), len(pool.left_workers)), (20, 20, 100))
+        self.assertTrue(pool.is_known("s-999"))  # operators may still name one that left just now
+        self.assertFalse(pool.is_known("s-1"))
 
 
 if __name__ == "__main__":
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -116,7 +116,7 @@
             )
 
     def restart(self, number: int, now: float) -> None:
-        """A new process uses no turn that it did not begin with (`Engine.pass_turns`)."""
+        """A new process uses no turn that it did not begin with (`Engine.skip_time_slices`)."""
         turn = self.deployment.known.fall_ms
         self.nodes[number] = self.node(number, now)
         self.nodes[number].step(now, [api.Shares((), places=())])
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from bench.trace import count, life, parse, read
-from pebbledrift.core.view import why_held
+from pebbledrift.core.view import hold_reasons
 from spoolpier import interface as api
 from tests.helpers import job, outcome, sends, started
 from tests.node import SETTINGS, WAIT, Discovery, NodeTest, Server, Worker, ask, eventually
@@ -83,10 +83,10 @@
                 out = [s for s in out if any(name == s.job for name, _ in d.ledger.out)]
                 for name in d.held:
                     if d.held[name].retry_at > now and not d.held[name].awaited:
-                        found = why_held(d, name, now)
+                        found = hold_reasons(d, name, now)
                         assert found is not None
                         held += 1
                         if d.held[name].retry_ms > 0 and d.held[name].arrived == now:
                             self.assertNotIn("unseen", found, (seed, i, name))
         self.assertGreater(held, 200)
-        self.assertIsNone(why_held(d, "nobody", now))
+        self.assertIsNone(hold_reasons(d, "nobody", now))
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -416,11 +416,11 @@
         if self.left and self.engine is not None:
             self.left -= 1
             entry = api.WorkerEntry(worker=7, state=api.WorkerState.DRAINING)
-            self.engine.pool_changed(api.WorkerList(api.ListForm.DELTA, (entry,)))
+            self.engine.worker_list_changed(api.WorkerList(api.ListForm.DELTA, (entry,)))
             self.engine.step_now()
         return ()
 
-    def places(self) -> None:
+    def owned_slices(self) -> None:
         return None
 
 
@@ -431,7 +431,7 @@
         nowhere: Any = None
         engine = told.engine = Engine(settings, Limits(), Clock(), 1, nowhere, told)
         with self.assertNoLogs("pebbledrift.core.engine", "ERROR"):
-            engine.pool_changed(api.WorkerList(api.ListForm.FULL, (api.WorkerEntry(worker=7),)))
+            engine.worker_list_changed(api.WorkerList(api.ListForm.FULL, (api.WorkerEntry(worker=7),)))
             engine.step_now()
         self.assertEqual(told.left, 2)
         self.assertFalse(engine._dispatcher.table.workers[7].up)  # the list came first, then the ban
