--- a/bench/groups.py
+++ b/bench/groups.py
@@ -42,7 +42,7 @@
     doubted = world.network.until(lambda: knowing(State.SUSPECT, State.DEAD) > 0, 30_000)
     known = doubted + world.network.until(lambda: knowing(State.DEAD) == size - 1, 30_000)
     world.network.run(max(0.0, 6000 - known))
-    return doubted, known, world.gaps(began, world.network.now)
+    return doubted, known, world.longest_gap(began, world.network.now)
 
 
 def work(given: tuple[int, float]) -> tuple[float, float]:
@@ -53,7 +53,9 @@
     world.network.run(5000)
     began = world.network.now
     world.network.run(60_000)
-    return len(world.since(began)) / (len(UNITS) * 60_000 / 700), world.gaps(began, world.network.now)
+    return len(world.entries_since(began)) / (len(UNITS) * 60_000 / 700), world.longest_gap(
+        began, world.network.now
+    )
 
 
 def false_deaths(given: tuple[int, float]) -> int:
--- a/tests/test_list_scale.py
+++ b/tests/test_list_scale.py
@@ -1,4 +1,4 @@
-"""What a list of thousands of workers costs, and what is kept of those that have left it."""
+"""The cost of a list of thousands of workers, and what is remembered of workers that have left it."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from spoolpier.hashing import mix
 from tests.helpers import job, outcome, sends, settings
 
-SMALL, LARGE = 200, 3200  # workers: sixteen times as many
+SMALL, LARGE = 200, 3200  # numbers of workers, a factor of 16 apart
 
 
 def entry(worker: int, state: api.WorkerState = api.WorkerState.UP, started: float = 0.0) -> api.WorkerEntry:
-    # spread as names are, so that slices of a large fleet are alike
+    # Numbers are spread like those of real names, so that slices of a large fleet have similar sizes.
     number = mix(worker)
     return api.WorkerEntry(worker=number, weight=5.0, started_ms=started, begun_ms=started, state=state)
 
@@ -35,130 +35,130 @@
 )
 
 
-def lines_run(where: str | tuple[str, ...], work: Callable[..., object], *arguments: object) -> int:
-    """Lines of these source files that a call runs: its work, the same on any machine."""
+def lines_run(files: str | tuple[str, ...], work: Callable[..., object], *arguments: object) -> int:
+    """Returns how many lines of these files a call executes: a cost that is equal on all machines."""
     count = 0
 
     def trace(frame: FrameType, event: str, argument: Any) -> Any:
         nonlocal count
-        if not frame.f_code.co_filename.endswith(where):
+        if not frame.f_code.co_filename.endswith(files):
             return None
         count += event == "line"
         return trace
 
-    before = sys.gettrace()
+    previous = sys.gettrace()
     sys.settrace(trace)
     try:
         work(*arguments)
     finally:
-        sys.settrace(before)
+        sys.settrace(previous)
     return count
 
 
-class Unheard:
-    """In the engine's place."""
+class StubEngine:
+    """Takes the place of the engine and ignores list changes."""
 
-    def worker_list_changed(self, news: api.WorkerList) -> None:
-        """Nothing."""
+    def worker_list_changed(self, worker_list: api.WorkerList) -> None:
+        """Does nothing."""
 
 
-def followed(number: int, **more: Any) -> tuple[PoolConfig, Config]:
-    known = settings(dispatchers=200, me=7, may_tell=True, nominal_weights=True)
+def pool_with(worker_count: int, **limits: Any) -> tuple[PoolConfig, Config]:
+    dispatcher_settings = settings(dispatchers=200, me=7, may_tell=True, nominal_weights=True)
     peers = tuple(("127.0.0.1", 1000 + n) for n in range(200))
-    config = Config("n7", known, Limits(**more), ("a",), (), (), ("m",), 1, peers=peers)
+    config = Config("n7", dispatcher_settings, Limits(**limits), ("a",), (), (), ("m",), 1, peers=peers)
     pool = PoolConfig(config, Clock())
-    pool.engine = cast(Engine, Unheard())
-    pool.apply_list({"rev": 1, "all": True, "targets": [target(i) for i in range(number)]})
+    pool.engine = cast(Engine, StubEngine())
+    pool.apply_list({"rev": 1, "all": True, "targets": [target(i) for i in range(worker_count)]})
     return pool, config
 
 
 def target(number: int, state: str = "in_service") -> dict[str, Any]:
-    place = f"127.0.{number >> 8 & 255}.{number & 255}:8081"
-    return {"uid": f"s-{number}", "endpoint": place, "az": "a", "model": "m", "state": state}
+    endpoint = f"127.0.{number >> 8 & 255}.{number & 255}:8081"
+    return {"uid": f"s-{number}", "endpoint": endpoint, "az": "a", "model": "m", "state": state}
 
 
-class HandedOnTest(unittest.IsolatedAsyncioTestCase):
-    """The list as a newer process begins with it."""
+class HandoverTest(unittest.IsolatedAsyncioTestCase):
+    """The list that a process hands over to the one that replaces it."""
 
-    async def test_a_drain_that_stands_beside_what_cannot_be_read_is_handed_on(self) -> None:
-        for told in ("terminating", "retiring", 7):
-            pool, _ = followed(2)
+    async def test_a_drain_in_an_unreadable_entry_is_handed_over(self) -> None:
+        for state in ("terminating", "retiring", 7):
+            pool, _ = pool_with(2)
             pool.apply_list(
-                {"rev": 2, "all": False, "targets": [{"uid": "s-1", "state": told, "endpoint": "?"}]}
+                {"rev": 2, "all": False, "targets": [{"uid": "s-1", "state": state, "endpoint": "?"}]}
             )
-            newer, _ = followed(0)
+            newer, _ = pool_with(0)
             newer.apply_list(pool.snapshot(), cached=True)
             states = {entry.worker: entry.state for entry in newer.entries.values()}
-            self.assertEqual(states[worker_number("s-1")], api.WorkerState.DRAINING, told)
+            self.assertEqual(states[worker_number("s-1")], api.WorkerState.DRAINING, state)
             self.assertEqual(states[worker_number("s-0")], api.WorkerState.UP)
 
-    async def test_an_end_that_stands_beside_what_cannot_be_read_is_handed_on(self) -> None:
-        pool, _ = followed(2)
+    async def test_a_termination_in_an_unreadable_entry_is_handed_over(self) -> None:
+        pool, _ = pool_with(2)
         pool.apply_list(
             {"rev": 2, "all": False, "targets": [{"uid": "s-1", "state": "terminated", "endpoint": 1}]}
         )
-        self.assertEqual([held["uid"] for held in pool.snapshot()["targets"]], ["s-0"])
+        self.assertEqual([item["uid"] for item in pool.snapshot()["targets"]], ["s-0"])
 
 
-class ChangeTest(unittest.IsolatedAsyncioTestCase):
-    """One worker's change must not be paid for by all others."""
+class ChangeCostTest(unittest.IsolatedAsyncioTestCase):
+    """The cost of a change to one worker must not grow with the number of workers."""
 
-    def decided(self, workers: int) -> Dispatcher:
+    def warmed_up(self, workers: int) -> Dispatcher:
         d = Dispatcher(settings(dispatchers=200, me=7, nominal_weights=True, tells_start=True), seed=1)
         whole = api.WorkerList(api.ListForm.FULL, tuple(entry(i) for i in range(workers)))
         d.step(0.0, [whole, api.Shares((), fleet=True)])
-        for i in range(50):  # orders are worked out
+        for i in range(50):  # computes and caches the orders of the workers
             d.step(10.0 + i, [job(f"j{i}", key=i)])
         return d
 
-    def test_the_module_takes_a_change_in_without_looking_at_all_workers(self) -> None:
-        ran = {}
+    def test_applying_a_change_does_not_examine_all_workers(self) -> None:
+        line_counts = {}
         for workers in (SMALL, LARGE):
-            d = self.decided(workers)
+            d = self.warmed_up(workers)
             drain = api.WorkerList(api.ListForm.DELTA, (entry(3, api.WorkerState.DRAINING),))
-            begin = api.WorkerList(api.ListForm.DELTA, (entry(3, started=500.0),))
-            ran[workers] = lines_run(DECISIONS, d.step, 1000.0, [drain])
-            ran[workers] += lines_run(DECISIONS, d.step, 2000.0, [begin])
-        self.assertLess(ran[LARGE], 1.5 * ran[SMALL], ran)
+            restart = api.WorkerList(api.ListForm.DELTA, (entry(3, started=500.0),))
+            line_counts[workers] = lines_run(DECISIONS, d.step, 1000.0, [drain])
+            line_counts[workers] += lines_run(DECISIONS, d.step, 2000.0, [restart])
+        self.assertLess(line_counts[LARGE], 1.5 * line_counts[SMALL], line_counts)
 
-    def test_a_job_after_a_change_looks_at_its_keys_slice_alone(self) -> None:
-        ran = {}
+    def test_a_job_after_a_change_examines_only_its_keys_slice(self) -> None:
+        line_counts = {}
         for workers in (2 * SMALL, LARGE):
-            d = self.decided(workers)
+            d = self.warmed_up(workers)
             d.step(1000.0, [api.WorkerList(api.ListForm.DELTA, (entry(3, api.WorkerState.DRAINING),))])
-            ran[workers] = max(
+            line_counts[workers] = max(
                 lines_run(DECISIONS, d.step, 1100.0 + i, [job(f"k{i}", key=i)]) for i in range(10)
             )
-        self.assertLess(ran[LARGE], 1.5 * ran[2 * SMALL], ran)
+        self.assertLess(line_counts[LARGE], 1.5 * line_counts[2 * SMALL], line_counts)
 
-    async def test_a_part_is_heard_without_looking_at_the_workers_of_the_others(self) -> None:
-        ran = {}
+    async def test_updating_one_part_does_not_examine_workers_of_other_parts(self) -> None:
+        line_counts = {}
         for workers in (SMALL, LARGE):
-            pool, config = followed(0)
+            pool, config = pool_with(0)
             neighbours = FleetNeighbours(config, pool.clock)
             pool.entry_listeners.append(neighbours.listed)
             pool.apply_list({"rev": 2, "all": True, "targets": [target(i) for i in range(workers)]})
             neighbours.shares()
-            one = next(i for i in range(workers) if pool_module.worker_number(f"s-{i}") % 5 == 2)
-            own = {"rev": 3, "all": False, "targets": [target(one, "terminating")]}
-            pool.apply_list(own)  # of this node's own part: the other parts are as they were
-            ran[workers] = lines_run("neighbours.py", neighbours.shares)
-        self.assertLess(ran[LARGE], 1.5 * ran[SMALL] + 5, ran)
+            number = next(i for i in range(workers) if pool_module.worker_number(f"s-{i}") % 5 == 2)
+            change = {"rev": 3, "all": False, "targets": [target(number, "terminating")]}
+            pool.apply_list(change)  # in this node's own part; the other parts are unchanged
+            line_counts[workers] = lines_run("neighbours.py", neighbours.shares)
+        self.assertLess(line_counts[LARGE], 1.5 * line_counts[SMALL] + 5, line_counts)
 
 
-class GoneTest(unittest.IsolatedAsyncioTestCase):
-    """Machines that replace others have new names, for as long as a node runs."""
+class FormerWorkersTest(unittest.IsolatedAsyncioTestCase):
+    """Memory for workers that have left is bounded: replacement machines have new names all the time."""
 
-    def test_the_module_forgets_workers_that_left(self) -> None:
+    def test_the_decision_module_forgets_workers_that_left(self) -> None:
         d = Dispatcher(settings(), seed=1)
         d.step(0.0, [api.WorkerList(api.ListForm.FULL, tuple(entry(i) for i in range(20)))])
         for i in range(20, 3020):
-            old = entry(i - 20, api.WorkerState.REMOVED)
-            d.step(1000.0 * i, [api.WorkerList(api.ListForm.DELTA, (old, entry(i)))])
+            removed = entry(i - 20, api.WorkerState.REMOVED)
+            d.step(1000.0 * i, [api.WorkerList(api.ListForm.DELTA, (removed, entry(i)))])
         self.assertLess(len(d.table.workers), 200)
         self.assertEqual(sum(w.up for w in d.table.workers.values()), 20)
 
-    def test_one_that_still_runs_a_job_is_remembered_with_it(self) -> None:
+    def test_a_worker_that_still_runs_a_job_is_remembered(self) -> None:
         d = Dispatcher(settings(tells_start=True), seed=1)
         d.step(0.0, [api.WorkerList(api.ListForm.FULL, (entry(1),))])
         [sent] = sends(d.step(10.0, [job("a", grace_ms=500_000.0)]))
@@ -173,15 +173,15 @@
         d.step(323_000.0, [api.WorkerList(api.ListForm.DELTA, (entry(3),))])
         self.assertNotIn(sent.worker, d.table.workers)
 
-    async def test_the_node_keeps_no_connections_and_few_names_of_workers_that_left(self) -> None:
-        pool, _ = followed(20)
-        before, pool_module.MAX_LEFT_WORKERS = pool_module.MAX_LEFT_WORKERS, 100
-        self.addCleanup(setattr, pool_module, "MAX_LEFT_WORKERS", before)
+    async def test_the_node_closes_connections_and_limits_names_of_workers_that_left(self) -> None:
+        pool, _ = pool_with(20)
+        original, pool_module.MAX_LEFT_WORKERS = pool_module.MAX_LEFT_WORKERS, 100
+        self.addCleanup(setattr, pool_module, "MAX_LEFT_WORKERS", original)
         for i in range(20, 1020):
-            gone = target(i - 20, "terminated")
-            pool.apply_list({"rev": i, "all": False, "targets": [gone, target(i)]})
+            removed = target(i - 20, "terminated")
+            pool.apply_list({"rev": i, "all": False, "targets": [removed, target(i)]})
         self.assertEqual((len(pool.destinations), len(pool.entries), len(pool.left_workers)), (20, 20, 100))
-        self.assertTrue(pool.is_known("s-999"))  # operators may still name one that left just now
+        self.assertTrue(pool.is_known("s-999"))  # operators may still name a worker that has just left
         self.assertFalse(pool.is_known("s-1"))
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -1,4 +1,7 @@
-"""When a change of the list counts as told: the clauses of STANDING, over real connections, compressed."""
+"""From when on a node must obey a change of the list (the clauses of STANDING).
+
+The tests use real connections and shortened times.
+"""
 
 from __future__ import annotations
 
@@ -11,206 +14,210 @@
 from tests.acts import serve
 from tests.node import SETTINGS, Discovery, Node, NodeTest, Worker, ask, eventually
 
-GRACE_S = 0.6  # that a drain leaves a node before it is a break (rules.drain_grace_ms)
-ASK_S = 1.0  # rules.must_ask_in_ms
-TOLD_S = 2.0  # node.news_told_ms, and the bench's time after which a change counts as told
-SILENT_S = 0.5
-RULES = {**SETTINGS["rules"], "drain_grace_ms": GRACE_S * 1000, "must_ask_in_ms": ASK_S * 1000}
-FAST = {"news_told_ms": TOLD_S * 1000, "watch_silent_ms": SILENT_S * 1000, "watch_retry_ms": 20}
+GRACE_S = 0.6  # time a node has to obey a drain before sends break the rule (rules.drain_grace_ms)
+MUST_ASK_S = 1.0  # rules.must_ask_in_ms
+ASSUMED_RECEIVED_S = 2.0  # node.news_told_ms; the bench, too, counts a change as received after this time
+SILENCE_TIMEOUT_S = 0.5
+RULES = {**SETTINGS["rules"], "drain_grace_ms": GRACE_S * 1000, "must_ask_in_ms": MUST_ASK_S * 1000}
+FAST = {
+    "news_told_ms": ASSUMED_RECEIVED_S * 1000,
+    "watch_silent_ms": SILENCE_TIMEOUT_S * 1000,
+    "watch_retry_ms": 20,
+}
 
 
-class Door:
-    """A port before discovery that can be shut: connections break, and new ones are refused."""
+class Proxy:
+    """A TCP proxy in front of discovery. While it is closed, connections break and new ones are refused."""
 
-    def __init__(self, behind: str) -> None:
-        host, _, port = behind.partition(":")
-        self.behind = (host, int(port))
+    def __init__(self, upstream: str) -> None:
+        host, _, port = upstream.partition(":")
+        self.upstream = (host, int(port))
         self.port = 0
-        self.through: list[socket.socket] = []
+        self.connections: list[socket.socket] = []
         self.open()
 
     def open(self) -> None:
-        """Let connections through, on the same port as before."""
+        """Accepts connections, on the same port as before."""
         self.listener = socket.create_server(("127.0.0.1", self.port))
         self.port = self.listener.getsockname()[1]
         threading.Thread(target=self._accept, args=(self.listener,), daemon=True).start()
 
-    def shut(self) -> None:
-        """As if the machine behind it were down."""
+    def close(self) -> None:
+        """Breaks all connections and refuses new ones, as if the machine behind it were down."""
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
-        for one in self.through:
+        for connection in self.connections:
             with contextlib.suppress(OSError):
-                one.shutdown(socket.SHUT_RDWR)
-        self.through.clear()
+                connection.shutdown(socket.SHUT_RDWR)
+        self.connections.clear()
 
     def _accept(self, listener: socket.socket) -> None:
         with contextlib.suppress(OSError):
             while True:
-                near, _ = listener.accept()
-                far = socket.create_connection(self.behind)
-                self.through += [near, far]
-                for one, other in ((near, far), (far, near)):
-                    threading.Thread(target=self._pump, args=(one, other), daemon=True).start()
+                client, _ = listener.accept()
+                server = socket.create_connection(self.upstream)
+                self.connections += [client, server]
+                for source, target in ((client, server), (server, client)):
+                    threading.Thread(target=self._forward, args=(source, target), daemon=True).start()
 
     @staticmethod
-    def _pump(one: socket.socket, other: socket.socket) -> None:
+    def _forward(source: socket.socket, target: socket.socket) -> None:
         with contextlib.suppress(OSError):
-            while data := one.recv(65536):
-                other.sendall(data)
-        for end in (one, other):
+            while data := source.recv(65536):
+                target.sendall(data)
+        for end in (source, target):
             with contextlib.suppress(OSError):
                 end.shutdown(socket.SHUT_RDWR)
 
 
-class ToldTest(NodeTest):
-    """Two workers, of which the first one drains."""
+class ListChangeTest(NodeTest):
+    """A node with two workers, the first of which drains."""
 
-    how = "ask"
+    discovery_mode = "ask"
 
     def setUp(self) -> None:
         self.first, self.second = Worker("s-1", serve), Worker("s-2", serve)
         self.discovery = Discovery([self.first.target(), self.second.target()])
-        self.door = Door(self.discovery.address)
+        self.proxy = Proxy(self.discovery.address)
         for stand_in in (self.first, self.second, self.discovery):
             self.addCleanup(stand_in.close)
-        self.addCleanup(self.door.shut)
+        self.addCleanup(self.proxy.close)
 
     def begin(self, **config: Any) -> Node:
         node = self.start(
             listen="127.0.0.1:0",
-            discovery=f"127.0.0.1:{self.door.port}",
-            settings={**SETTINGS, "discovery": self.how, "rules": RULES},
+            discovery=f"127.0.0.1:{self.proxy.port}",
+            settings={**SETTINGS, "discovery": self.discovery_mode, "rules": RULES},
             node=FAST,
             **config,
         )
         self.first.node = self.second.node = node.address
         return node
 
-    def ready(self, node: Node) -> None:
+    def wait_until_ready(self, node: Node) -> None:
         eventually(lambda: ask(node.address, "GET", "/-/ready")[0] == 200)
 
-    def drain(self) -> None:
-        """It is in discovery's list, and on no watch."""
+    def drain_unannounced(self) -> None:
+        """Drains the first worker in discovery's list without sending the change on a watch."""
         self.discovery.targets = [self.first.target("terminating"), self.second.target()]
 
-    def jobs(self, node: Node, seconds: float) -> set[int]:
-        """The statuses of jobs for so long."""
-        found, ends, i = set(), time.monotonic() + seconds, 0
+    def job_statuses(self, node: Node, seconds: float) -> set[int]:
+        """Sends jobs for `seconds` and returns the set of their statuses."""
+        statuses, ends, i = set(), time.monotonic() + seconds, 0
         while time.monotonic() < ends:
             i += 1
-            found.add(node.job(f"{ends}-{i}", sid=f"{i:x}", budget=0.2)[0])
-        return found
+            statuses.add(node.job(f"{ends}-{i}", sid=f"{i:x}", budget=0.2)[0])
+        return statuses
 
-    def gets_nothing_more(self, node: Node) -> None:
+    def assert_first_gets_no_jobs(self, node: Node) -> None:
         self.first.taken.clear()
-        self.jobs(node, 1.0)
+        self.job_statuses(node, 1.0)
         self.assertEqual(self.first.taken, set())
 
-    def takes_over(self, node: Node) -> None:
-        """The node serves by the other worker alone."""
+    def assert_only_second_serves(self, node: Node) -> None:
+        """Checks that the node serves jobs with the second worker only."""
         eventually(lambda: node.job(f"{time.monotonic()}", budget=0.3)[0] == 200)
-        self.gets_nothing_more(node)
+        self.assert_first_gets_no_jobs(node)
         self.assertTrue(self.second.taken)
 
 
-class AskedTest(ToldTest):
-    """Discovery is a service that nodes ask."""
+class PulledListTest(ListChangeTest):
+    """Discovery is a service that nodes query."""
 
-    def test_what_comes_on_a_watch_counts_when_it_is_written_also_after_long_quiet(self) -> None:
+    def test_a_change_on_a_watch_counts_when_written_even_after_a_long_quiet_time(self) -> None:
         node = self.begin()
-        self.ready(node)
+        self.wait_until_ready(node)
         for _ in range(
-            3 * int(TOLD_S / (SILENT_S / 2))
-        ):  # three times as long as a list is good for, unheard
+            3 * int(ASSUMED_RECEIVED_S / (SILENCE_TIMEOUT_S / 2))
+        ):  # three times as long as a list stays valid without any message
             self.discovery.watches[-1].put(b"\n")
-            threading.Event().wait(SILENT_S / 2)
-            self.assertEqual(self.jobs(node, 0.05), {200})
+            threading.Event().wait(SILENCE_TIMEOUT_S / 2)
+            self.assertEqual(self.job_statuses(node, 0.05), {200})
         self.discovery.change(self.first.target("terminating"))
         threading.Event().wait(GRACE_S / 2)
-        self.gets_nothing_more(node)
+        self.assert_first_gets_no_jobs(node)
         self.assertFalse([line for line in node.log if "current=False" in line])
 
-    def test_a_watch_that_fell_silent_is_opened_anew_before_what_it_misses_counts(self) -> None:
+    def test_a_silent_watch_is_reopened_before_the_changes_it_misses_count(self) -> None:
         node = self.begin()
-        self.ready(node)
+        self.wait_until_ready(node)
         watches = len(self.discovery.watches)
-        self.drain()
+        self.drain_unannounced()
         eventually(lambda: len(self.discovery.watches) > watches)
-        self.takes_over(node)
+        self.assert_only_second_serves(node)
 
-    def test_while_discovery_is_down_the_list_holds_and_what_it_has_at_its_return_is_obeyed(self) -> None:
+    def test_the_list_stays_valid_while_discovery_is_down_and_its_list_is_obeyed_on_return(self) -> None:
         node = self.begin()
-        self.ready(node)
-        self.door.shut()
-        self.assertEqual(self.jobs(node, 3 * TOLD_S), {200})
-        self.drain()
-        self.door.open()
-        threading.Event().wait(TOLD_S)
-        self.takes_over(node)
-
-    def test_while_calls_get_no_answer_a_change_counts_as_told_from_when_it_was_made(self) -> None:
+        self.wait_until_ready(node)
+        self.proxy.close()
+        self.assertEqual(self.job_statuses(node, 3 * ASSUMED_RECEIVED_S), {200})
+        self.drain_unannounced()
+        self.proxy.open()
+        threading.Event().wait(ASSUMED_RECEIVED_S)
+        self.assert_only_second_serves(node)
+
+    def test_while_discovery_does_not_answer_a_change_counts_from_when_it_was_made(self) -> None:
         node = self.begin()
-        self.ready(node)
-        self.door.shut()
-        with socket.create_server(("127.0.0.1", self.door.port)):  # it is there, and says nothing
-            threading.Event().wait(TOLD_S + GRACE_S)
-            self.gets_nothing_more(node)
+        self.wait_until_ready(node)
+        self.proxy.close()
+        with socket.create_server(("127.0.0.1", self.proxy.port)):  # accepts connections but never answers
+            threading.Event().wait(ASSUMED_RECEIVED_S + GRACE_S)
+            self.assert_first_gets_no_jobs(node)
 
-    def test_after_a_new_configuration_what_the_next_one_has_counts(self) -> None:
+    def test_after_a_reload_the_list_of_the_new_discovery_counts(self) -> None:
         node = self.begin()
-        self.ready(node)
+        self.wait_until_ready(node)
         other = Discovery([self.first.target("terminating"), self.second.target()], rev=3)
         self.addCleanup(other.close)
         node.reload(discovery=other.address)
-        threading.Event().wait(TOLD_S)
-        self.takes_over(node)
+        threading.Event().wait(ASSUMED_RECEIVED_S)
+        self.assert_only_second_serves(node)
 
 
-class PushedTest(ToldTest):
-    """An agent on the node's machine has the list, and counts as having told it."""
+class PushedListTest(ListChangeTest):
+    """An agent on the node's machine has the list, which counts as received by the node."""
 
-    how = "push"
+    discovery_mode = "push"
 
-    def test_what_the_agent_has_counts_from_the_first_moment_of_a_process(self) -> None:
-        known = {"rev": 1, "all": True, "targets": [self.first.target(), self.second.target()]}
-        self.drain()
-        node = self.begin(known=known)
-        self.jobs(node, GRACE_S)
-        eventually(lambda: 200 in self.jobs(node, 0.1))
-        self.gets_nothing_more(node)
+    def test_the_agents_list_counts_from_the_start_of_a_process(self) -> None:
+        cached_list = {"rev": 1, "all": True, "targets": [self.first.target(), self.second.target()]}
+        self.drain_unannounced()
+        node = self.begin(known=cached_list)
+        self.job_statuses(node, GRACE_S)
+        eventually(lambda: 200 in self.job_statuses(node, 0.1))
+        self.assert_first_gets_no_jobs(node)
 
-    def test_while_the_agent_says_nothing_on_an_open_watch_the_list_holds(self) -> None:
+    def test_the_list_stays_valid_while_the_agent_is_silent_on_an_open_watch(self) -> None:
         node = self.begin()
-        self.ready(node)
-        self.assertEqual(self.jobs(node, 3 * GRACE_S), {200})
+        self.wait_until_ready(node)
+        self.assertEqual(self.job_statuses(node, 3 * GRACE_S), {200})
 
-    def test_what_it_got_while_no_watch_was_open_is_obeyed_within_the_grace(self) -> None:
+    def test_a_change_made_while_no_watch_was_open_is_obeyed_within_the_grace(self) -> None:
         node = self.begin()
-        self.ready(node)
-        self.door.shut()
-        self.drain()
+        self.wait_until_ready(node)
+        self.proxy.close()
+        self.drain_unannounced()
         threading.Event().wait(GRACE_S)
-        self.gets_nothing_more(node)  # not by the old list either: it cannot know
-        self.door.open()
-        self.takes_over(node)
+        self.assert_first_gets_no_jobs(node)  # not from the old list either, which may be outdated
+        self.proxy.open()
+        self.assert_only_second_serves(node)
 
-    def test_after_a_new_configuration_what_the_next_agent_has_counts_four_seconds_later(self) -> None:
+    def test_after_a_reload_the_new_agents_list_counts_four_seconds_later(self) -> None:
         node = self.begin()
-        self.ready(node)
-        with socket.create_server(("127.0.0.1", 0), backlog=1) as closed:
-            gone = "{}:{}".format(*closed.getsockname())
-        node.reload(discovery=gone)
+        self.wait_until_ready(node)
+        with socket.create_server(("127.0.0.1", 0), backlog=1) as listener:
+            unreachable = "{}:{}".format(*listener.getsockname())
+        node.reload(discovery=unreachable)
         threading.Event().wait(4.0)
-        self.gets_nothing_more(node)
-        self.assertEqual(self.jobs(node, 0.3), {503})
+        self.assert_first_gets_no_jobs(node)
+        self.assertEqual(self.job_statuses(node, 0.3), {503})
 
 
-class StartTest(ToldTest):
-    def test_a_list_from_before_a_start_is_not_used_while_discovery_could_speak(self) -> None:
-        known = {"rev": 1, "all": True, "targets": [self.first.target(), self.second.target()]}
-        self.drain()
-        node = self.begin(known=known)
-        eventually(lambda: 200 in self.jobs(node, 0.1))
+class CachedListTest(ListChangeTest):
+    def test_a_cached_list_is_not_used_while_discovery_can_still_answer(self) -> None:
+        cached_list = {"rev": 1, "all": True, "targets": [self.first.target(), self.second.target()]}
+        self.drain_unannounced()
+        node = self.begin(known=cached_list)
+        eventually(lambda: 200 in self.job_statuses(node, 0.1))
         self.assertEqual(self.first.taken, set())
