--- a/pebbledrift/core/engine.py
+++ b/pebbledrift/core/engine.py
@@ -442,7 +442,7 @@
             for event in events:
                 operation = self.open.get(event.job) if isinstance(event, api.Arrival) else None
                 if operation is not None:
-                    self._finish(operation, self._overdue_answer(operation))
+                    self._finish(operation, self._answer_on_give_up(operation))
         self.on_step()
         if tracing:
             self._trace_step(actions, reasons, now)
@@ -473,7 +473,7 @@
                 logs.trace("held", id=job, why=hold_reasons(self._dispatcher, job, now))
 
     def _clock_event(self) -> list[api.Event]:
-        """Returns an event with the wall clock offset if it has changed since it was last reported."""
+        """Returns an event with the wall clock offset if it drifted or was stepped since the last report."""
         ahead = self.clock.ahead_ms()
         if abs(ahead - self._reported_ahead_ms) < CLOCK_REPORT_THRESHOLD_MS:
             return []
@@ -589,10 +589,10 @@
                 "operation answered at its deadline: no answer from the decision module",
                 extra={"id": operation.id},
             )
-            self._finish(operation, self._overdue_answer(operation))
+            self._finish(operation, self._answer_on_give_up(operation))
             self._event(api.ClientGone(operation.id))
 
-    def _overdue_answer(self, operation: Operation) -> Answer:
+    def _answer_on_give_up(self, operation: Operation) -> Answer:
         if operation.may_have_run:
             return Answer(Verdict.FAILED, reason="gave up")
         return Answer(Verdict.REFUSED, b"", self.limits.busy_retry_ms, "gave up")
