--- a/pebbledrift/core/view.py
+++ b/pebbledrift/core/view.py
@@ -4,8 +4,8 @@
 
 from collections import Counter
 
-from spoolpier.brain import Dispatcher
 from spoolpier.constants import NEVER
+from spoolpier.dispatcher import Dispatcher
 from spoolpier.state import Job, Worker
 from spoolpier.workers import EXCLUDED_MOST, WorkerTable
 
--- a/pebbledrift/router/placement.py
+++ b/pebbledrift/router/placement.py
@@ -16,7 +16,7 @@
 from pebbledrift.control.registry import Instance, InstanceState
 from pebbledrift.router.routes import Route
 from spoolpier import interface as api
-from spoolpier.brain import Dispatcher
+from spoolpier.dispatcher import Dispatcher
 
 log = logging.getLogger(__name__)
 
--- a/spoolpier/__init__.py
+++ b/spoolpier/__init__.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from spoolpier.brain import Dispatcher
+    from spoolpier.dispatcher import Dispatcher
 
 __all__ = ["Dispatcher"]
 
@@ -14,6 +14,6 @@
     """Import the decisions when they are asked for: other processes use only small parts of the package."""
     if name != "Dispatcher":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    from spoolpier.brain import Dispatcher
+    from spoolpier.dispatcher import Dispatcher
 
     return Dispatcher
--- a/spoolpier/benchlink.py
+++ b/spoolpier/benchlink.py
@@ -9,7 +9,7 @@
 from typing import Any, TextIO
 
 from spoolpier import interface as api
-from spoolpier.brain import Dispatcher
+from spoolpier.dispatcher import Dispatcher
 from spoolpier.settings import REPORT_NAMES, read_settings
 
 STATES = {
--- a/spoolpier/handover.py
+++ b/spoolpier/handover.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from spoolpier import interface as api
-from spoolpier.brain import Dispatcher
+from spoolpier.dispatcher import Dispatcher
 from spoolpier.state import Attempt, Job, Worker
 
 FLEET = ("run_ms", "overhead", "pace")
--- a/tests/cluster/test_console.py
+++ b/tests/cluster/test_console.py
@@ -147,7 +147,7 @@
 def test_the_explained_order_is_the_one_that_requests_are_placed_by() -> None:
     from pebbledrift.router.placement import stable_number
     from spoolpier import interface as api
-    from spoolpier.brain import Dispatcher
+    from spoolpier.dispatcher import Dispatcher
 
     found = asked("/stream/1", prefix="5c1e07a2:800,1:5")
     classes = (api.JobClass(aim_ms=1000.0, deadline_ms=1000.0),)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).parent.parent / "spoolpier"
-BRAIN = PACKAGE / "brain.py"
+DISPATCHER = PACKAGE / "dispatcher.py"
 # all that decisions may rest on beside their interface: no clock, no file, no socket, no process
 ALLOWED = frozenset(
     "__future__ heapq math random collections collections.abc dataclasses enum operator typing "
@@ -31,7 +31,7 @@
 
 def decisions() -> list[Path]:
     """All modules that the decisions consist of: what `step` rests on, through every import."""
-    found, left = list[Path](), [BRAIN]
+    found, left = list[Path](), [DISPATCHER]
     while left:
         path = left.pop()
         if path not in found:
@@ -50,14 +50,23 @@
 
 def test_each_module_of_the_decisions_has_one_concern_and_a_bounded_length() -> None:
     names = {path.stem for path in decisions()}
-    assert {"brain", "workers", "ledger", "signatures", "state", "hashing", "interface", "records"} <= names
+    assert {
+        "dispatcher",
+        "workers",
+        "ledger",
+        "signatures",
+        "state",
+        "hashing",
+        "interface",
+        "records",
+    } <= names
     for path in decisions():
         if path.stem != "interface":  # types alone
             assert len(path.read_text().splitlines()) <= MOST_LINES, path
 
 
 def test_the_module_names_its_interface_and_no_deployment() -> None:
-    assert "spoolpier/interface.py" in BRAIN.read_text().lower().split('"""')[1]
+    assert "spoolpier/interface.py" in DISPATCHER.read_text().lower().split('"""')[1]
     for path in decisions():
         text = path.read_text().lower()
         for name in (
--- a/tests/test_list_scale.py
+++ b/tests/test_list_scale.py
@@ -31,7 +31,7 @@
 
 DECISIONS = tuple(
     f"spoolpier/{name}.py"
-    for name in ("brain", "workers", "ledger", "signatures", "state", "hashing", "constants")
+    for name in ("dispatcher", "workers", "ledger", "signatures", "state", "hashing", "constants")
 )
 
 
