--- a/pebbledrift/console/explain.py
+++ b/pebbledrift/console/explain.py
@@ -11,7 +11,7 @@
 from pebbledrift.router.routes import Route, RoutingTable
 from spoolpier.hashing import mix
 from spoolpier.records import record
-from spoolpier.workers import top
+from spoolpier.workers import top_ranked
 
 WORKERS_MOST = 12
 
@@ -136,4 +136,4 @@
     key = routing_key(parse_parts(prefix)) if prefix else None
     if key is None:
         return tuple(found[:WORKERS_MOST])
-    return tuple(top(found, mix(key), WORKERS_MOST))
+    return tuple(top_ranked(found, mix(key), WORKERS_MOST))
--- a/pebbledrift/core/engine.py
+++ b/pebbledrift/core/engine.py
@@ -29,7 +29,7 @@
 from pebbledrift.core.view import avoided, belief, why_held
 from spoolpier import Dispatcher
 from spoolpier import interface as api
-from spoolpier.handover import adopt, job_state, learn, learned
+from spoolpier.handover import export_job, export_learned, import_job, import_learned
 
 log = logging.getLogger(__name__)
 
@@ -160,7 +160,7 @@
         out = [a for a in operation.attempts if a.open]
         if operation.answer is not None or len(out) != 1 or not out[0].destination.taken(out[0]):
             return None
-        return job_state(self._dispatcher, operation.id)
+        return export_job(self._dispatcher, operation.id)
 
     def release(self, operation: Operation) -> None:
         """The operation has gone over to another process."""
@@ -183,7 +183,7 @@
         """Go on with an operation of the process before this one, as if it had been sent here."""
         self.step_now()  # the module has to know the list, and the time
         grace = self._enter(operation)
-        adopt(self._dispatcher, self._arrival(operation, grace), told)
+        import_job(self._dispatcher, self._arrival(operation, grace), told)
         now = self.clock.now_ms()
         for number in range(int(told["attempts"])):
             known = next((k for k in told["suspects"] if k["number"] == number), None)
@@ -330,7 +330,7 @@
             self._turns_back = None
         if self.leased:
             return
-        self._event(api.Shares((), places=()))
+        self._event(api.Shares((), indexes=()))
         if count:
             turn = self.settings.fall_ms
             wait = count * turn - self.clock.common_ms() % turn
@@ -339,20 +339,20 @@
     def _use_turns(self) -> None:
         self._turns_back = None
         if not self.leased:
-            self._event(api.Shares((), places=(self.settings.me,)))
+            self._event(api.Shares((), indexes=(self.settings.me,)))
 
     def allowed(self) -> dict[int, float]:
         """What the module may still take in, by limit of all nodes."""
-        return {limit: allowance.jobs for limit, allowance in self._dispatcher.allowed.items()}
+        return {limit: allowance.jobs for limit, allowance in self._dispatcher.allowances.items()}
 
     def learned(self) -> dict[str, Any]:
         """What the module has learned, as plain data."""
-        return learned(self._dispatcher)
+        return export_learned(self._dispatcher)
 
     def learn(self, told: dict[str, Any]) -> None:
         """Let the module begin with what the one before it has learned."""
         self.step_now()  # the list comes first
-        learn(self._dispatcher, told)
+        import_learned(self._dispatcher, told)
 
     def attempt_of(self, job: str, worker: int) -> Attempt | None:
         """The latest attempt of an operation at a worker, if the operation is still known."""
@@ -445,7 +445,7 @@
         """Say what a step has decided, and what it rested on."""
         for action in actions:
             if isinstance(action, api.Send):
-                work = action.work if action.most else 0.0
+                work = action.work if action.max_work else 0.0
                 told = belief(self._dispatcher, action.worker, now)
                 logs.trace("send", id=action.job, worker=action.worker, cold=work, **told)
             elif isinstance(action, api.Refuse | api.Fail):
@@ -524,10 +524,10 @@
         if send.timeout_ms > 0:
             expires = min(expires, now + send.timeout_ms)
         attempt = Attempt(operation, number, worker, destination, now, expires)
-        attempt.turn = send.turn if send.most > 0 else -1
+        attempt.turn = send.time_slice if send.max_work > 0 else -1
         attempt.not_after_ms = min(expires, send.not_after_ms)
-        if send.most > 0:
-            turn_ends = (send.turn + 1) * self.settings.fall_ms - self._ahead_told
+        if send.max_work > 0:
+            turn_ends = (send.time_slice + 1) * self.settings.fall_ms - self._ahead_told
             attempt.not_after_ms = min(attempt.not_after_ms, turn_ends + TURN_LATE_MS)
         attempt.incarnation = self.destinations.incarnation(worker)
         operation.attempts.append(attempt)
@@ -536,7 +536,9 @@
         if self.neighbours is not None:
             self.neighbours.filled(worker, operation.slots)
             # guards a cold worker: what other processes spent since the module last heard of it counts too
-            if send.most > 0 and not self.neighbours.take_cold(worker, send.turn, send.work, send.most):
+            if send.max_work > 0 and not self.neighbours.take_cold(
+                worker, send.time_slice, send.work, send.max_work
+            ):
                 self._close_attempt(attempt, api.OutcomeKind.NOT_SENT, None)
                 return
         try:
--- a/pebbledrift/core/view.py
+++ b/pebbledrift/core/view.py
@@ -7,17 +7,17 @@
 from spoolpier.constants import NEVER
 from spoolpier.dispatcher import Dispatcher
 from spoolpier.state import Job, Worker
-from spoolpier.workers import EXCLUDED_MOST, WorkerTable
+from spoolpier.workers import MAX_EXCLUDED, WorkerTable
 
 
 def avoided(table: WorkerTable, now: float) -> set[int]:
-    """Workers left alone now, by all jobs or by those of a class, as choose() sees it."""
+    """Workers left alone now, by all jobs or by those of a class, as choose_worker() sees it."""
     up = [w for w in table.workers.values() if w.up]
     found = {w.id for w in up if w.unreached and now < w.suspended_until}
     for job_class in range(len(table.settings.classes)):
         failing = {w.id for w in up if now < w.failed_until.get(job_class, NEVER)}
-        found |= failing if len(failing) <= EXCLUDED_MOST * len(up) else set()
-    judged = {worker for worker, _ in table.out}
+        found |= failing if len(failing) <= MAX_EXCLUDED * len(up) else set()
+    judged = {worker for worker, _ in table.excluded}
     return found | {w.id for w in up if w.id in judged}
 
 
@@ -35,14 +35,14 @@
     return {
         "state": state,
         "age_ms": round(now - w.since_ms) if w.started_ms else "-",
-        "filled": w.filled,
-        "others": w.others,
+        "filled": w.own_slots,
+        "others": w.other_slots,
         "limit": round(w.limit, 1),
     }
 
 
 def hindrance(dispatcher: Dispatcher, job: Job, w: Worker, now: float) -> str:
-    """Why a job is not sent to a worker now, in the order in which Dispatcher.choose looks; "" if it could.
+    """Why a job is not sent to a worker now, in the order of Dispatcher.choose_worker; "" if it could.
 
     Probes that are out are not looked at.
     """
@@ -51,25 +51,25 @@
         return "doubted"
     if now < w.full_until:
         return "queue"
-    if w.id in job.barred:
+    if w.id in job.excluded_workers:
         return "tried"
-    if job.kind.kind not in (-1, w.kind):
+    if job.spec.kind not in (-1, w.kind):
         return "kind"
-    if (w.id, job.job_class) in table.out:
+    if (w.id, job.job_class) in table.excluded:
         return "verdict"
-    if not table.most_fail(job, now) and now < w.failed_until.get(job.job_class, NEVER):
+    if not table.majority_failing(job, now) and now < w.failed_until.get(job.job_class, NEVER):
         return "failing"
     if s.tells_start:
-        full = w.filled + w.others + job.slots > max(w.limit, job.slots)
-    elif w.seen_at >= now - table.trust_ms:
-        full = w.free - w.unseen < job.slots
+        full = w.own_slots + w.other_slots + job.slots > max(w.limit, job.slots)
+    elif w.reported_at >= now - table.trust_ms:
+        full = w.free_slots - w.unreported_slots < job.slots
     else:
-        full = not s.may_probe and w.own + w.others >= int(w.limit)
+        full = not s.may_probe and w.own_attempts + w.other_slots >= int(w.limit)
     if full:
         return "full"
-    if job.suspects and not dispatcher.ledger.may_send(job, w, now):
+    if job.possible_runs and not dispatcher.ledger.may_send(job, w, now):
         return "rule"
-    if w.memory is not None and job.memory is not None and w.memory < job.memory:
+    if w.free_memory is not None and job.memory is not None and w.free_memory < job.memory:
         return "memory"
     if w.started_ms and (budget := table.cold_budget(w, now)) < job.work:
         return "cold" if budget else "cold, not our turn"
--- a/pebbledrift/limits/book.py
+++ b/pebbledrift/limits/book.py
@@ -106,7 +106,7 @@
             borrower = Borrower(account, UNITS // self.parts, Habits(), seed)
         taken = {other.number for other in self.limits}
         free = next(i for i in range(len(taken) + 1) if i not in taken)
-        number = api.RETRIES if limit.retries else free
+        number = api.RETRY_LIMIT if limit.retries else free
         soft = SoftShare(config.in_a_cut, self.settle_ms(self.whole), config.believed_ms, start)
         bucket = Bucket(limit.rate / 1000, config.burst_ms, start)
         meters = Meter(start), Meter(start)
@@ -158,14 +158,14 @@
         return tuple(
             limit.number
             for limit in self.limits
-            if limit.number != api.RETRIES
+            if limit.number != api.RETRY_LIMIT
             and limit.config.tenant in (None, tenant)
             and limit.config.job_class in (None, job_class)
         )
 
     def came(self, now: float, tenant: int | None, job_class: int, repeat: bool) -> None:
         """A job has come."""
-        numbers = {*self.counts(tenant, job_class), *((api.RETRIES,) if repeat else ())}
+        numbers = {*self.counts(tenant, job_class), *((api.RETRY_LIMIT,) if repeat else ())}
         if not repeat:
             self.first.count(now)
         for limit in self.limits:
@@ -176,7 +176,7 @@
     def failed(self, now: float) -> None:
         """An attempt has ended without a result: its job may go again."""
         for limit in self.limits:
-            if limit.number == api.RETRIES:
+            if limit.number == api.RETRY_LIMIT:
                 limit.demand.count(now)
                 limit.asked += 1
 
--- a/pebbledrift/router/placement.py
+++ b/pebbledrift/router/placement.py
@@ -151,7 +151,7 @@
 
     def failing(self) -> set[str]:
         """Ids of the instances that failed here of late and get nothing now."""
-        numbers = self._dispatcher.left_alone(self._now_ms())
+        numbers = self._dispatcher.suspended_workers(self._now_ms())
         return {self._instances[number].id for number in numbers if number in self._instances}
 
     def forget(self, instance: Instance) -> None:
--- a/spoolpier/__init__.py
+++ b/spoolpier/__init__.py
@@ -11,7 +11,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import the decisions when they are asked for: other processes use only small parts of the package."""
+    """Import Dispatcher on first use: many processes need only small parts of the package."""
     if name != "Dispatcher":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     from spoolpier.dispatcher import Dispatcher
--- a/spoolpier/interface.py
+++ b/spoolpier/interface.py
@@ -1,6 +1,6 @@
-"""The interface of spoolpier: what a dispatcher is told (settings, events) and what it answers (actions).
+"""The interface of spoolpier: a dispatcher's settings, the events it processes and the actions it returns.
 
-Times are milliseconds on the caller's clock. Workers and keys are whole numbers, jobs are text ids.
+Times are milliseconds on the caller's clock. Workers and keys are integers, job ids are strings.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 from spoolpier.records import record
 
-PART = 40  # dispatchers that tell each other what they fill, at least: so many once were the whole fleet
-RETRIES = -1  # the limit that jobs count against which go, or come, a second time
+MIN_PART = 40  # dispatchers in a part of the fleet, at least: 40 used to be a whole fleet
+RETRY_LIMIT = -1  # number of the limit on jobs that are sent, or arrive, again
 Report = Mapping[str, float]
-"""A load report. Known names: free_slots, free_memory, held, waiting, busy, service_ms."""
+"""A worker's load report. Names in use: free_slots, free_memory, held, waiting, busy, service_ms."""
 
 
 class Effect(IntEnum):
-    """What a repeat of a job does."""
+    """Whether a job may run more than once."""
 
-    SAFE = 0  # may be repeated and refused at will
-    KEYED = 1  # the workers of one group drop a repeat for a while
+    SAFE = 0  # may be repeated and refused freely
+    KEYED = 1  # the workers of one group drop repeats within window_ms
     UNSAFE = 2  # must never run twice
 
 
 class Group(IntEnum):
-    """The workers that drop each other's repeats of a keyed job."""
+    """Which workers drop repeats of a keyed job that another one of them may have run."""
 
     ALL = 0
     ZONE = 1
@@ -34,7 +34,7 @@
 
 
 class WorkerState(IntEnum):
-    """What the list says of a worker."""
+    """State of a worker in the worker list."""
 
     UP = 0
     DRAINING = 1
@@ -42,12 +42,12 @@
 
 
 class ListForm(IntEnum):
-    """How a worker list event is to be read."""
+    """What the entries of a worker list event are."""
 
     DELTA = 0  # changed entries only
-    FULL = 1  # all workers there are
-    CACHED = 2  # all workers as last known, perhaps stale
-    FAILED = 3  # a call or the subscription failed; the list held so far remains
+    FULL = 1  # all workers
+    CACHED = 2  # all workers as last received, possibly stale
+    FAILED = 3  # none: a request or the subscription failed, and the previous list remains valid
 
 
 class OutcomeKind(IntEnum):
@@ -61,14 +61,14 @@
     BROKEN = 5
     CANCELLED = 6
     NOT_SENT = 7
-    UNKNOWN = 8  # anything the adapter cannot name: the job may have run
+    UNKNOWN = 8  # any status that the adapter does not recognise: the job may have run
 
 
 PROVEN_NOT_RUN = frozenset((OutcomeKind.REFUSED, OutcomeKind.NO_CONNECTION, OutcomeKind.NOT_SENT))
 
 
 class Progress(IntEnum):
-    """What a note on a running attempt says."""
+    """Kind of a progress note on a running attempt."""
 
     STARTED = 0
     SHARE_DONE = 1
@@ -76,7 +76,7 @@
 
 @record
 class JobClass:
-    """One class of jobs. An answer is in time within aim_ms + aim_stretch * run time."""
+    """Settings of a job class. An answer is in time within aim_ms + aim_stretch * run time."""
 
     aim_ms: float
     deadline_ms: float
@@ -89,12 +89,12 @@
     kind: int = -1
     priority: int = 0
     streamed: bool = False
-    max_runs: int = 0  # attempts of a job that may have run, at most; 0: as many as attempts
+    max_runs: int = 0  # maximum attempts of a job that may have run; 0: limited by max_attempts only
 
 
 @record
 class Tenant:
-    """A tenant's agreed share: a fraction of the service, and jobs a second over all dispatchers."""
+    """A tenant's agreed fraction of the service, and its quota in jobs per second over all dispatchers."""
 
     share: float
     quota_per_s: float
@@ -102,7 +102,7 @@
 
 @record
 class Settings:
-    """What a dispatcher is handed once, at its start."""
+    """Settings of a dispatcher, passed once at its start."""
 
     classes: tuple[JobClass, ...]
     dispatchers: int = 1
@@ -130,21 +130,21 @@
     fall_multiple: float = 1.0
     fall_ms: float = 1000.0
     fee_cross_zone: float = 0.0
-    first_limit: float = 1.0  # attempts that a worker may run at first, before anything is learned of it
+    first_limit: float = 1.0  # attempts that a worker may run at once before anything is known about it
 
     @property
     def parts(self) -> int:
-        """Parts of the fleet: each byte is paid for at each dispatcher that hears it.
+        """Number of parts of the fleet. Parts bound traffic, as every dispatcher receives each report.
 
-        What is filled at a worker is told to those of its part alone: the worker's number and theirs are
-        alike modulo this.
+        The slots filled at a worker are reported only to the dispatchers of its part: those whose index
+        equals the worker's number modulo the number of parts.
         """
-        return max(1, self.dispatchers // PART)
+        return max(1, self.dispatchers // MIN_PART)
 
     def __post_init__(self) -> None:
-        """Refuse settings that no decision could be based on, naming the one at fault."""
+        """Raise ValueError for unusable settings; the message names the invalid one."""
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: at least one job class is required")
         for job_class in self.classes:
             if not job_class.deadline_ms > 0:
                 raise ValueError(f"classes: deadline_ms must be above 0, not {job_class.deadline_ms}")
@@ -161,10 +161,10 @@
 
 @record
 class WorkerEntry:
-    """One line of the worker list. started_ms is 0 for a worker that has run for long.
+    """An entry of the worker list. started_ms is 0 for a worker that has been running for a long time.
 
-    It tells one process of the worker from another, by a clock that may differ from the caller's. Where it
-    does, begun_ms is the same moment, or a later one, by the caller's.
+    It identifies the worker's process, by a clock that may differ from the caller's. If it differs, begun_ms
+    is the same moment, or a later one, by the caller's clock.
     """
 
     worker: int
@@ -178,13 +178,13 @@
 
     @property
     def since_ms(self) -> float:
-        """The start by the caller's clock."""
+        """The start of the process by the caller's clock."""
         return self.started_ms if self.begun_ms is None else self.begun_ms
 
 
 @record
 class WorkerList:
-    """News of the worker list."""
+    """A change or a copy of the worker list."""
 
     form: ListForm
     entries: tuple[WorkerEntry, ...] = ()
@@ -192,7 +192,7 @@
 
 @record
 class Arrival:
-    """A job taken in. It is owed exactly one final answer within grace_ms."""
+    """A job has arrived. It must get exactly one final answer within grace_ms."""
 
     job: str
     job_class: int
@@ -203,12 +203,12 @@
     memory: float | None = None
     tenant: int | None = None
     repeat: bool = False
-    limits: tuple[int, ...] = ()  # that it counts against (Allowance)
+    limits: tuple[int, ...] = ()  # numbers of the limits that it counts against (see Allowance)
 
 
 @record
 class Outcome:
-    """The end of an attempt. done: the job has its final answer by this or already had it."""
+    """An attempt has ended. done: the job got its final answer by this outcome or before."""
 
     job: str
     attempt: int
@@ -221,7 +221,7 @@
 
 @record
 class Note:
-    """News of an attempt that is still out."""
+    """A progress note on an open attempt."""
 
     job: str
     attempt: int
@@ -232,7 +232,7 @@
 
 @record
 class StreamStarted:
-    """The answer of a streamed job has begun: the attempt is the client's from here on."""
+    """The answer of a streamed job has begun: from now on only the client ends the attempt."""
 
     job: str
     attempt: int
@@ -241,7 +241,7 @@
 
 @record
 class ProbeResult:
-    """The result of one probe."""
+    """The result of a probe; a worker may also report without one."""
 
     worker: int
     ok: bool
@@ -251,37 +251,37 @@
 
 @record
 class Share:
-    """What dispatchers that are one node with this one do at a worker. A later one takes its place.
+    """The load that the other dispatchers of the same node put on a worker. It replaces the previous one.
 
-    Slots they fill; and of the budget of a cold worker, for one turn (see Send), the work that all have
-    spent, this dispatcher included.
+    slots: the slots that they fill. spent: of a cold worker's budget for one time slice (see Send), the work
+    in ms that all of them have used, this dispatcher included.
     """
 
     worker: int
     slots: float = 0.0
-    turn: int = -1
+    time_slice: int = -1
     spent: float = 0.0
 
 
 @record
 class Shares:
-    """News of the dispatchers that are one node with this one, or of all that there are (`fleet`).
+    """The load put on workers by the other dispatchers of the same node, or (`fleet`) by all others.
 
-    What is not named is as before. `places`: the numbers whose turns at cold workers are this dispatcher's,
-    where that is not its own number alone; none of them is used in a turn's first guard_ms.
+    Workers that are not listed keep their last share. `indexes`: the dispatcher indexes whose time slices at
+    cold workers this dispatcher uses, if not only its own; none is used in a time slice's first guard_ms.
     """
 
     shares: tuple[Share, ...]
     fleet: bool = False
-    places: tuple[int, ...] | None = None
+    indexes: tuple[int, ...] | None = None
     guard_ms: float = 0.0
 
 
 @record
 class CommonClock:
-    """The clock that all dispatchers read alike is so far ahead of the times that step() is given.
+    """How far the clock that all dispatchers share is ahead of the times passed to step().
 
-    Where it was stepped, none of the turns at cold workers that touch the step is used.
+    After a step of that clock, no time slice at cold workers that overlaps the step is used.
     """
 
     ahead_ms: float
@@ -289,24 +289,24 @@
 
 @record
 class Verdict:
-    """What all dispatchers together hold of a worker, for one class of jobs. A later one takes its place.
+    """The common verdict of all dispatchers on a worker, for one job class. It replaces the previous one.
 
-    `out`: nothing is sent there; with its end ends what this dispatcher alone held against the worker.
-    `rank`: 1, other workers first; -1, this one first, with one attempt: it is tried.
+    `excluded`: no job is sent there; when it ends, this dispatcher's own failure records are reset.
+    `rank`: 1: other workers are preferred; -1: this worker is tried first, with one attempt.
     """
 
     worker: int
     job_class: int
-    out: bool = False
+    excluded: bool = False
     rank: int = 0
 
 
 @record
 class Allowance:
-    """Of a limit of all dispatchers: how many jobs this one may take in now. A later one takes its place.
+    """How many jobs this dispatcher may accept now under a common limit. It replaces the previous one.
 
-    Each job taken in that counts against the limit takes one from `jobs`. Beyond it a job is worth `worth` of
-    one within: 0, it is refused; else it comes behind the others.
+    Each accepted job that counts against the limit takes one from `jobs`. A job beyond it has `worth` times
+    the worth of one within it; with 0 it is refused, otherwise it ranks behind the others.
     """
 
     limit: int
@@ -316,21 +316,21 @@
 
 @record
 class ClassesAdded:
-    """Further classes of jobs, numbered behind those that are known."""
+    """Further job classes, numbered after the existing ones."""
 
     classes: tuple[JobClass, ...]
 
 
 @record
 class ClientGone:
-    """The client has left: nothing more is owed for the job."""
+    """The client has left: the job needs no answer any more."""
 
     job: str
 
 
 @record
 class Timer:
-    """A wake-up asked for has come due."""
+    """A wake-up that was requested with Wake is due."""
 
     mark: int
 
@@ -363,26 +363,26 @@
 
 @record
 class Send:
-    """Begin an attempt. Attempts of a job count 0, 1, 2 ... in this order. timeout_ms 0: the client's.
+    """Begin an attempt. A job's attempts are numbered 0, 1, 2 ... in order. timeout_ms 0: the client's.
 
-    To a cold worker: the work that it spends, in ms on one slot, the turn (spans of fall_ms of the
-    common clock) and the most that all dispatchers of one node may spend in it. `most` 0: the worker is warm.
+    For a cold worker: the work that the job uses, in ms on one slot; the time slice (a span of fall_ms of the
+    common clock) and the budget in it of all dispatchers of one node. max_work 0: the worker is warm.
 
-    Past not_after_ms nothing of it may be written any more: workers may have forgotten the first attempt.
+    Nothing may be written after not_after_ms: workers may have forgotten the first attempt by then.
     """
 
     job: str
     worker: int
     timeout_ms: float = 0.0
     work: float = 0.0
-    turn: int = -1
-    most: float = 0.0
+    time_slice: int = -1
+    max_work: float = 0.0
     not_after_ms: float = math.inf
 
 
 @record
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an open attempt."""
 
     job: str
     attempt: int
@@ -390,7 +390,7 @@
 
 @record
 class Refuse:
-    """Final answer: not done, and a further try is harmless."""
+    """Final answer: the job was not done, and the client may safely repeat it."""
 
     job: str
     retry_after_ms: float = 0.0
@@ -398,21 +398,21 @@
 
 @record
 class Fail:
-    """Final answer: failed; it may have run."""
+    """Final answer: the job failed and may have run."""
 
     job: str
 
 
 @record
 class Probe:
-    """Ask a worker for its load report."""
+    """Request a load report from a worker."""
 
     worker: int
 
 
 @record
 class Wake:
-    """Ask for a Timer event at a time."""
+    """Request a Timer event at a time; it carries the same mark."""
 
     at_ms: float
     mark: int = 0
@@ -433,7 +433,7 @@
 
 @record
 class Log:
-    """A line for the operators."""
+    """Write a log line."""
 
     message: str
 
--- a/spoolpier/signatures.py
+++ b/spoolpier/signatures.py
@@ -1,4 +1,4 @@
-"""Which keys were sent where, and how often a key comes."""
+"""Which keys were sent to which workers, and how frequent each key is."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 
 from spoolpier.state import Worker
 
-SHARE_JOBS = 400.0  # the share of a key is taken over about this many jobs
+SHARE_JOBS = 400.0  # a key's share is taken over about the last 400 jobs
 
 
 class SignatureIndex:
-    """From a key to the workers whose last job from us had it, and the key's last send-to-outcome time."""
+    """Maps a key to the workers that this dispatcher last sent it to, and to its last run time.
+
+    The run time is the time in seconds from send to outcome.
+    """
 
     def __init__(self) -> None:
         self.workers: dict[int | None, dict[int, Worker]] = {}
@@ -19,7 +22,7 @@
         self.total = 0.0
 
     def count(self, key: int | None) -> None:
-        """A job with this key has arrived; old ones fade."""
+        """Count the arrival of a job with this key; the weight of old jobs decays."""
         self.counts[key] = self.counts.get(key, 0.0) + 1
         self.total += 1
         if self.total > 2 * SHARE_JOBS:
@@ -27,23 +30,24 @@
             self.counts = {k: c / 2 for k, c in self.counts.items() if c >= 0.5}
 
     def share(self, key: int | None, prior: float) -> float:
-        """The key's share of our recent jobs."""
+        """Return the key's share of the recent jobs; `prior` jobs without the key are added to the total."""
         count = self.counts.get(key, 0.0)
-        # at the low end of what chance allows: a key seen twice is not hot, and each home has to fetch it
+        # The lower end of the statistical error is used: a key seen twice is not hot, and each further home
+        # has to fetch its data.
         return max(0.0, count - math.sqrt(count)) / max(1.0, self.total + prior)
 
     def remember(self, w: Worker, key: int | None) -> None:
-        """The worker's signature is now this key."""
+        """Make this key the worker's signature."""
         self.forget(w)
         w.key = key
         if key is not None:
             self.workers.setdefault(key, {})[w.id] = w
 
     def forget(self, w: Worker) -> None:
-        """The worker's cache is not to be counted on any more."""
+        """Drop the worker's signature: its cache can no longer be relied on."""
         if w.key is not None:
-            named = self.workers[w.key]
-            del named[w.id]
-            if not named:
+            workers = self.workers[w.key]
+            del workers[w.id]
+            if not workers:
                 del self.workers[w.key]
             w.key = None
--- a/spoolpier/state.py
+++ b/spoolpier/state.py
@@ -1,4 +1,4 @@
-"""What a dispatcher knows of one worker, one attempt and one job."""
+"""A dispatcher's records of workers, attempts and jobs. Times are in ms on the caller's clock."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """What this dispatcher knows of one worker."""
+    """The state that this dispatcher keeps for one worker."""
 
     id: int
     hash: int
     zone: int = 0
     cell: int = 0
     kind: int = 0
-    started_ms: float = 0.0  # names the process; 0: it has run for long
-    since_ms: float = 0.0  # its start by our clock
+    started_ms: float = 0.0  # identifies the worker's process; 0: it has been running for a long time
+    since_ms: float = 0.0  # start of the process by the caller's clock
     up: bool = False
-    key: int | None = None  # signature: the key of the last job sent there
-    own: int = 0  # attempts of ours that are out
-    filled: float = 0.0  # slots they take
-    limit: float = 1.0  # attempts of ours it may run while nothing newer is known
-    free: float = 0.0  # free slots by the last report
-    memory: float | None = None
-    seen_at: float = NEVER
-    unseen: float = 0.0  # slots we filled that the last report may not show
-    last_sent: float = NEVER
-    probe_sent: float = NEVER
-    waiters: list[Job] = field(default_factory=list)  # held jobs that wait for its probe
-    strikes: dict[int, int] = field(default_factory=dict)  # failures in a row, by class
-    failed_until: dict[int, float] = field(default_factory=dict)  # left alone by this class until then
-    unreached: int = 0  # probes and connections in a row that failed
-    refusals: int = 0  # in a row
-    suspended_until: float = NEVER  # left alone by all
-    heard_at: float = NEVER  # the worker's last sign of life
+    key: int | None = None  # signature: the key of the last job sent to this worker
+    own_attempts: int = 0  # open attempts of this dispatcher
+    own_slots: float = 0.0  # slots that these attempts occupy
+    limit: float = 1.0  # attempts that may run at once, until newer information arrives
+    free_slots: float = 0.0  # by the last load report
+    free_memory: float | None = None
+    reported_at: float = NEVER  # time of the last load report
+    unreported_slots: float = 0.0  # slots filled by this dispatcher that the last report may not include
+    last_sent_at: float = NEVER
+    probe_sent_at: float = NEVER
+    waiting_jobs: list[Job] = field(default_factory=list)  # held jobs that wait for the probe's result
+    strikes: dict[int, int] = field(default_factory=dict)  # consecutive failures, by job class
+    failed_until: dict[int, float] = field(default_factory=dict)  # avoided until then, by job class
+    unreached: int = 0  # consecutive failures of probes and connections
+    refusals: int = 0  # consecutive refusals
+    suspended_until: float = NEVER  # avoided by all job classes until then
+    last_received_at: float = NEVER  # time of the last message that shows the worker is alive
     full_until: float = NEVER
-    cold_turn: int = -1
-    cold_spent: float = 0.0
-    cold_most: float = 0.0  # that may be spent in the turn; 0 once it is warm
-    others: float = 0.0  # slots that other dispatchers fill, as far as that is told
-    size: float = 1.0  # slots it has, by the list
+    cold_time_slice: int = -1
+    cold_work_spent: float = 0.0
+    max_cold_work: float = 0.0  # budget of the time slice; 0 once the worker is warm
+    other_slots: float = 0.0  # slots that other dispatchers occupy, as far as they report it
+    listed_slots: float = 1.0  # capacity by the worker list
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a job."""
+    """One send of a job to a worker."""
 
     job: Job
     number: int
@@ -56,37 +56,41 @@
     sent_at: float
     open: bool = True
     started: bool = False
-    began_at: float = NEVER
-    heard_at: float = NEVER  # its last note
-    quiet: bool = False  # its answer is taken to be lost: it fills no slot any more
+    started_at: float = NEVER
+    last_received_at: float = NEVER  # time of the last progress note
+    presumed_lost: bool = False  # the answer is presumed lost; the attempt no longer occupies a slot
 
 
 class Job:
-    """A job taken in and not yet answered for good."""
+    """A job that was accepted and has no final answer yet."""
 
-    def __init__(self, event: api.Arrival, kind: api.JobClass, now: float, tick: float, lost: float) -> None:
+    def __init__(
+        self, event: api.Arrival, spec: api.JobClass, now: float, tick: float, lost_ms: float
+    ) -> None:
         self.id = event.job
-        self.kind, self.job_class = kind, event.job_class
+        self.spec, self.job_class = spec, event.job_class
         self.key = event.key
         self.hash = mix(event.key) if event.key is not None else mix(int.from_bytes(event.job.encode()[-8:]))
-        self.hint = event.hint_ms
+        self.hint_ms = event.hint_ms
         self.slots = max(1.0, event.slots)
-        self.work = (event.hint_ms or kind.aim_ms) * self.slots  # what it takes of a cold worker's budget
+        # the part of a cold worker's budget that the job uses
+        self.work = (event.hint_ms or spec.aim_ms) * self.slots
         self.memory = event.memory
-        self.arrived = now
-        self.expires = now + event.grace_ms - 2 * tick  # a final answer one tick late would break rule 1
-        self.slack = max(1.0, kind.aim_ms + (kind.aim_stretch - 1) * (event.hint_ms or 0.0) - lost)
-        self.aim_until = now + self.slack  # sent later than this, its answer is late
-        # given up and answered at once from here on: late already, it would only make others late
-        self.useful_until = min(self.aim_until, self.expires)
-        self.attempts, self.worth = 0, 1.0  # the last: against that of a job within all limits
-        self.suspects: list[Attempt] = []  # attempts that are out or may have run, oldest first
-        self.barred: set[int] = set()  # workers that did not accept it
+        self.arrived_at = now
+        # one tick (ms) late would break rule 1
+        self.expires_at = now + event.grace_ms - 2 * tick
+        self.slack_ms = max(1.0, spec.aim_ms + (spec.aim_stretch - 1) * (event.hint_ms or 0.0) - lost_ms)
+        self.latest_send_at = now + self.slack_ms  # a job sent after this is answered late
+        # after this the job is given up and answered at once: it is late already and would only delay others
+        self.useful_until = min(self.latest_send_at, self.expires_at)
+        self.attempts, self.worth = 0, 1.0  # worth: relative to a job within all limits
+        self.possible_runs: list[Attempt] = []  # attempts that are open or may have run, oldest first
+        self.excluded_workers: set[int] = set()  # workers that did not accept the job
         self.retry_at = now
-        # wait until the next look; looks that ended in waiting for probes; probes it waits for
-        self.retry_ms, self.rounds, self.awaited = RETRY_MS, 0, 0
+        # delay until the next search; searches that ended in waiting for probes; probes without a result yet
+        self.retry_ms, self.probe_rounds, self.pending_probes = RETRY_MS, 0, 0
 
     @property
-    def is_open(self) -> bool:
-        """Whether an attempt is out."""
-        return any(a.open for a in self.suspects)
+    def has_open_attempt(self) -> bool:
+        """Whether any attempt is still open."""
+        return any(a.open for a in self.possible_runs)
--- a/spoolpier/workers.py
+++ b/spoolpier/workers.py
@@ -1,4 +1,7 @@
-"""The workers by the list, and what is known of each: room, health, the budget of a cold one."""
+"""The worker table: which workers are up, their free capacity, health, and budgets while they are cold.
+
+A key's homes are the first workers in its rendezvous order. Cold workers started recently, with empty caches.
+"""
 
 from __future__ import annotations
 
@@ -6,205 +9,219 @@
 from typing import Protocol, TypeVar
 
 from spoolpier import interface as api
-from spoolpier.constants import FOREVER, LIMIT_STEP, MASK, NEAR, NEVER, ODD, OVERHEAD_AT, START_LATE_MS
+from spoolpier.constants import (
+    EXTRA_WORKERS,
+    FOREVER,
+    GOLDEN_GAMMA,
+    LIMIT_STEP,
+    MASK_64,
+    NEVER,
+    OVERHEAD_QUANTILE,
+    START_LATE_MS,
+)
 from spoolpier.hashing import mix
 from spoolpier.state import Attempt, Job, Worker
 
-WALK = 12  # workers looked at in a key's rendezvous order: a dozen all busy means a busy fleet
-TRUST_MS = 250.0  # a probed report says nothing of a worker's free slots after this
-TRUST_ANSWER_MS = 1000.0  # the same where reports come only with answers: old news beats none
-REPORT_LAG_MS = 250.0  # a job sent this recently may be missing from a report
-BACKLOG_SHARE = 0.5  # share of the time a reported queue takes to run for which its worker is passed over
-BACKLOG_MOST_MS = 5000.0  # but no longer than this: others stay away as well
-RUN_MS = 500.0  # time from send to outcome before any was seen, and
-RUN_PART = 0.05  # the part that each new one has in its mean
-OVERHEAD_STEP_MS = 20.0  # step by which the overhead follows each outcome, towards
-PACE_STEP = 0.1  # the same for the pace, in hints: a dozen slow outcomes show that the fleet is slow
-REFUSED_MS = 100.0  # a worker that refused is taken for full this long, doubled with each refusal in a row,
-REFUSED_DOUBLINGS = 2  # so often at most: late reports go on calling it free
-SUSPEND_ONCE_MS = 300.0  # a worker that failed a job is left alone for so long, by this class of jobs:
-SUSPEND_MS = 3000.0  # one failure may be chance; each further one in a row counts, doubled each time
-SUSPEND_MOST_MS = 24_000.0
-EXCLUDED_MOST = 0.5  # share of the workers that may be left alone: where more fail, it is no fault of theirs
-COLD_SAFETY = 0.4  # share of the cold budget used: half for two turns in one window, the rest for hints
-COLD_JOB_MS = 400.0  # least part of the cold budget for each dispatcher that has the turn: a common job,
-COLD_FEW = 8.0  # and more by as much as there are more dispatchers than this: a long job has to fit too
-SLOT_SPEED = 0.5  # work a slot does in a unit of time on the slowest machine worth listing
-SPEED_SAFETY = 0.75  # share of the speed seen at warm workers of a kind that one of them surely has
-SPEED_PRIOR_MS = 10_000.0  # time at that least speed which counts as seen
-POOL_MOST = 128  # workers scored for a key; of a larger fleet a key sees its slice, or scoring costs too much
-ORDERS_KEPT = 2048  # rendezvous orders remembered; beyond it all are worked out afresh
-CROWD = 8  # so many dispatchers that hear nothing of each other fill a worker between two sends of one
-FORGET_MS = 60_000.0  # a worker that has left is remembered for so long, or two turns if these are longer
+ORDER_SIZE = 12  # workers kept of a key's rendezvous order: if twelve are all busy, so is the fleet
+TRUST_MS = 250.0  # a probed report says nothing about a worker's free slots after this
+TRUST_ANSWER_MS = 1000.0  # the same where reports come only with answers: an old report is better than none
+REPORT_LAG_MS = 250.0  # a job that was sent this recently may be missing from a report
+BACKLOG_SHARE = 0.5  # a worker is skipped for this share of the time that its reported queue takes to run,
+MAX_BACKLOG_MS = 5000.0  # but at most for this long, since other dispatchers skip it as well
+RUN_MS = 500.0  # assumed time from send to outcome before any was observed
+RUN_MEAN_WEIGHT = 0.05  # weight of each new observation in the mean run time
+OVERHEAD_STEP_MS = 20.0  # step of the quantile estimate of the overhead, per outcome
+PACE_STEP = 0.1  # the same for the pace, in multiples of the hint: a dozen slow outcomes show a slow fleet
+REFUSED_MS = 100.0  # a worker that refused counts as full for this long, doubled per consecutive refusal
+REFUSED_DOUBLINGS = 2  # up to this many times, because late reports still describe it as free
+SUSPEND_ONCE_MS = 300.0  # how long a job class avoids a worker after one failure, which may be chance
+SUSPEND_MS = 3000.0  # the same from the second consecutive failure on, doubled for each further one
+MAX_SUSPEND_MS = 24_000.0
+MAX_EXCLUDED = 0.5  # share of the workers that may be avoided: if more fail, the cause lies elsewhere
+COLD_SAFETY = 0.4  # share of a cold budget that is used: two slices fit in one window, hints may be too low
+COLD_JOB_MS = 400.0  # minimum part of a cold budget per dispatcher in a time slice: one common job,
+COLD_FEW = 8.0  # scaled up in proportion beyond this many dispatchers, so that a long job fits too
+MIN_SLOT_SPEED = 0.5  # work per slot and unit of time on the slowest supported machine
+SPEED_SAFETY = 0.75  # share of the mean speed of warm workers of a kind that any one of them reaches
+SPEED_PRIOR_MS = 10_000.0  # run time at MIN_SLOT_SPEED that is added to the observations
+MAX_POOL = 128  # workers scored per key; in a larger fleet a key sees one shard, to bound the cost of scoring
+MAX_ORDERS = 2048  # rendezvous orders in the cache; when it is full, the cache is cleared
+MANY_DISPATCHERS = 8  # this many uncoordinated dispatchers fill a worker between two sends of one of them
+FORGET_MS = 60_000.0  # a departed worker is kept for this long, or for two time slices if that is longer
 
 
 class WorkerTable:
-    """The list, and what is known of each worker: room, health, cold budget."""
+    """The listed workers and the state of each: free capacity, health, and the budget while it is cold."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
         self.workers: dict[int, Worker] = {}
-        self.left: dict[int, float] = {}  # those not up, and since when, the oldest first
+        self.departed: dict[int, float] = {}  # workers that are not up, and since when, oldest first
         self.forget_ms = max(FORGET_MS, 2 * settings.fall_ms)
-        self.cold: dict[int, Worker] = {}  # those up that have started lately
-        self.slice_bits = 0
-        # by slice of the hashes: the workers up; these by kind; and rendezvous orders by key, kind and homes
-        self.slices: dict[int, dict[int, Worker]] = {}
+        self.cold_workers: dict[int, Worker] = {}  # workers that are up and started recently
+        self.shard_bits = 0
+        # by shard of the hashes: the workers up; these by kind; and rendezvous orders by key, kind and homes
+        self.shards: dict[int, dict[int, Worker]] = {}
         self.pools: dict[int, dict[int, list[Worker]]] = {}
         self.orders: dict[int, dict[tuple[int, int, int], list[Worker]]] = {}
-        self.salt, self.turn, self.ours = mix(settings.me + 1), -1, list[Worker]()  # the turn at cold workers
-        self.stride = stride(settings.dispatchers)
-        self.places: tuple[int, ...] = (settings.me,)  # whose turns are ours, but for the first part of each
-        self.guard_ms = 0.0
-        self.ahead_ms = 0.0  # the clock that all dispatchers read, before ours: turns are counted by it
-        self.no_turn_before = NEVER  # that clock was stepped just now
-        self.fleet = False  # what all dispatchers fill is told: a limit is of all together
-        # many that cannot tell what they fill: a late start is all that shows a worker's backlog
-        crowd = settings.dispatchers >= CROWD
-        self.unheard = crowd and settings.tells_start and not settings.may_tell
-        self.parts = 1  # of the fleet: what is filled at a worker is told to the dispatchers of its part
+        # the last time slice looked at, and the cold workers that this dispatcher may use in it
+        self.salt, self.time_slice, self.own_cold_workers = mix(settings.me + 1), -1, list[Worker]()
+        self.stride = index_stride(settings.dispatchers)
+        self.indexes: tuple[int, ...] = (settings.me,)  # whose time slices this dispatcher may use,
+        self.guard_ms = 0.0  # except for this long at the start of each
+        self.ahead_ms = 0.0  # the common clock minus the caller's; time slices are spans of the common clock
+        self.no_time_slice_before = NEVER  # set after a step of the common clock
+        self.fills_known = False  # all dispatchers report the slots they fill: limits cover them all
+        # many dispatchers that cannot report the slots they fill: only a late start reveals a backlog
+        crowd = settings.dispatchers >= MANY_DISPATCHERS
+        self.fills_unreported = crowd and settings.tells_start and not settings.may_tell
+        self.parts = 1  # parts of the fleet: the slots filled at a worker are reported within its part only
         self.slots_of_kind: dict[int, float] = {}
-        # by verdict, of worker and class: left alone; looked at before others (-1) or behind them (1)
-        self.out, self.ranks = set[tuple[int, int]](), dict[tuple[int, int], int]()
-        self.ran: dict[int, tuple[float, float]] = {}  # by kind of warm worker: work by hint, and time taken
+        # by verdict, pairs of worker and job class: excluded ones; ranked first (-1) or last (1)
+        self.excluded, self.ranks = set[tuple[int, int]](), dict[tuple[int, int], int]()
+        self.run_totals: dict[int, tuple[float, float]] = {}  # by kind of warm worker: hints and run times
         self.run_ms = RUN_MS
-        self.overhead, self.at = 0.0, OVERHEAD_AT  # what a job takes beyond its hint, of late
-        self.pace = 1.0  # send-to-outcome time over the hint, of late: machines that others use run slower
+        self.overhead, self.quantile = 0.0, OVERHEAD_QUANTILE  # recent time of a job beyond its hint
+        self.pace = 1.0  # recent ratio of send-to-outcome time to hint; above 1 on machines that are shared
         self.trust_ms = TRUST_MS if settings.may_probe else TRUST_ANSWER_MS
 
     def take_list(self, event: api.WorkerList, now: float) -> list[Worker]:
-        """Follow the list; returns the workers that are gone. Work grows with what has changed alone."""
+        """Apply a list event; returns workers that left or restarted. A delta costs only what changed."""
         if event.form is api.ListForm.FAILED:
             return []
         gone: list[Worker] = []
         if event.form is not api.ListForm.DELTA:
-            named = {e.worker for e in event.entries}
-            gone = [w for w in self.workers.values() if w.up and w.id not in named]
+            listed = {e.worker for e in event.entries}
+            gone = [w for w in self.workers.values() if w.up and w.id not in listed]
             for worker in gone:
-                self.set_up(worker, False, now)
+                self.set_in_service(worker, False, now)
         for e in event.entries:
             w = self.workers.get(e.worker) or self.add(e.worker, now)
             up = e.state is api.WorkerState.UP
             if w.up and not up:
                 gone.append(w)
             if up and (not w.up or e.started_ms != w.started_ms):
-                # a new process, or one that was away: what was known would flood or starve a cold worker
-                w.seen_at = w.full_until = NEVER
-                w.size = max(1.0, e.weight) if self.settings.nominal_weights else 1.0
-                w.limit = w.size if self.fleet else self.settings.first_limit
-                w.unreached, w.suspended_until, w.unseen, w.cold_most = 0, NEVER, 0.0, 0.0
+                # a new or returning process: the old state would overload or starve a cold worker
+                w.reported_at = w.full_until = NEVER
+                w.listed_slots = max(1.0, e.weight) if self.settings.nominal_weights else 1.0
+                w.limit = w.listed_slots if self.fills_known else self.settings.first_limit
+                w.unreached, w.suspended_until, w.unreported_slots, w.max_cold_work = 0, NEVER, 0.0, 0.0
                 w.strikes, w.failed_until = {}, {}
                 gone.append(w)
-            self.set_up(w, False, now)  # out of the indexes, with what it was before
+            self.set_in_service(w, False, now)  # removes it from the indexes under its previous attributes
             w.zone, w.cell, w.kind = e.zone, e.cell, e.kind
             w.started_ms, w.since_ms = e.started_ms, e.since_ms
-            self.set_up(w, up, now)
-        self.slice_again()
-        self.forget_left(now)
-        self.turn = -1
+            self.set_in_service(w, up, now)
+        self.reshard()
+        self.forget_departed(now)
+        self.time_slice = -1
         return gone
 
     def add(self, worker: int, now: float) -> Worker:
-        """A worker that is heard of for the first time; it is not up yet."""
+        """Add a worker that is seen for the first time; it is not up yet."""
         w = self.workers[worker] = Worker(worker, mix(worker))
-        self.left[worker] = now
+        self.departed[worker] = now
         return w
 
-    def set_up(self, w: Worker, up: bool, now: float) -> None:
-        """A worker is in service, or is not, by the list: it has its place in the indexes accordingly."""
+    def set_in_service(self, w: Worker, up: bool, now: float) -> None:
+        """Set whether a worker is up by the list, and update the indexes."""
         if w.up is up:
             return
         w.up = up
-        part = w.hash >> 64 - self.slice_bits
-        self.clear_slice(part)
+        shard = w.hash >> 64 - self.shard_bits
+        self.clear_shard(shard)
         if up:
-            self.left.pop(w.id, None)
-            self.slices.setdefault(part, {})[w.id] = w
+            self.departed.pop(w.id, None)
+            self.shards.setdefault(shard, {})[w.id] = w
             if w.started_ms > 0:
-                self.cold[w.id] = w
+                self.cold_workers[w.id] = w
         else:
-            self.left[w.id] = now
-            del self.slices[part][w.id]
-            self.cold.pop(w.id, None)
-
-    def clear_slice(self, part: int) -> None:
-        """What was worked out from the workers of a slice holds no more."""
-        self.pools.pop(part, None)
-        self.orders.pop(part, None)
-
-    def slice_again(self) -> None:
-        """Divide the workers anew where their number has passed a power of two."""
-        bits = (sum(map(len, self.slices.values())) // (POOL_MOST + 1)).bit_length()
-        if bits == self.slice_bits:
+            self.departed[w.id] = now
+            del self.shards[shard][w.id]
+            self.cold_workers.pop(w.id, None)
+
+    def clear_shard(self, shard: int) -> None:
+        """Drop the cached pools and orders of a shard."""
+        self.pools.pop(shard, None)
+        self.orders.pop(shard, None)
+
+    def reshard(self) -> None:
+        """Redistribute the workers over the shards when their number has passed a power of two."""
+        bits = (sum(map(len, self.shards.values())) // (MAX_POOL + 1)).bit_length()
+        if bits == self.shard_bits:
             return
-        self.slice_bits = bits
-        up = [w for part in self.slices.values() for w in part.values()]
-        self.slices.clear()
+        self.shard_bits = bits
+        up = [w for shard in self.shards.values() for w in shard.values()]
+        self.shards.clear()
         for w in up:
-            self.slices.setdefault(w.hash >> 64 - bits, {})[w.id] = w
+            self.shards.setdefault(w.hash >> 64 - bits, {})[w.id] = w
         self.clear_orders()
 
     def clear_orders(self) -> None:
-        """Nothing that was worked out holds any more."""
+        """Drop all cached pools and orders."""
         self.pools.clear()
         self.orders.clear()
 
-    def forget_left(self, now: float) -> None:
-        """Guards memory: of a worker that left long ago, and for which nothing is out, nothing is kept."""
-        while self.left:
-            oldest, since = next(iter(self.left.items()))
+    def forget_departed(self, now: float) -> None:
+        """Bound memory: delete workers that left long ago and have no open attempt."""
+        while self.departed:
+            oldest, since = next(iter(self.departed.items()))
             if now - since <= self.forget_ms:
                 return
-            del self.left[oldest]
-            if self.workers[oldest].own:
-                self.left[oldest] = now
+            del self.departed[oldest]
+            if self.workers[oldest].own_attempts:
+                self.departed[oldest] = now
             else:
                 del self.workers[oldest]
 
     def pool(self, kind: int, key_hash: int) -> list[Worker]:
-        """Workers up that a class may use: of a large fleet, those that share the key's leading bits."""
-        part = key_hash >> 64 - self.slice_bits
-        pools = self.pools.setdefault(part, {})
-        if (found := pools.get(kind)) is None:
-            ready = self.slices.get(part, {}).values()
-            found = pools[kind] = [w for w in ready if kind in (-1, w.kind)]
-        return found
+        """Return the workers up of a kind (-1: any) in the key's shard of the fleet."""
+        shard = key_hash >> 64 - self.shard_bits
+        pools = self.pools.setdefault(shard, {})
+        if (workers := pools.get(kind)) is None:
+            ready = self.shards.get(shard, {}).values()
+            workers = pools[kind] = [w for w in ready if kind in (-1, w.kind)]
+        return workers
 
     def order(self, job: Job, homes: int) -> list[Worker]:
-        """The start of the key's rendezvous order. Worked out once a key until the list changes.
+        """Return the start of the key's rendezvous order, cached until the list changes.
 
-        Each dispatcher has its own among the homes of a hot key, or all would run into the first at once.
+        Each dispatcher permutes the homes of a hot key by its salt, or all would send to the first at once.
         """
-        key, part = (job.hash, job.kind.kind, homes), job.hash >> 64 - self.slice_bits
-        if (found := self.orders.get(part, {}).get(key)) is None:
-            if sum(map(len, self.orders.values())) >= ORDERS_KEPT:
+        key, shard = (job.hash, job.spec.kind, homes), job.hash >> 64 - self.shard_bits
+        if (order := self.orders.get(shard, {}).get(key)) is None:
+            if sum(map(len, self.orders.values())) >= MAX_ORDERS:
                 self.orders.clear()
-            wide = self.fleet or self.unheard
-            walk = POOL_MOST if wide else max(WALK, homes + WALK // 2)
-            found = sorted(top(self.pool(job.kind.kind, job.hash), job.hash, walk), key=self.foreign)
-            found[:homes] = top(found[:homes], job.hash ^ self.salt, homes)
+            wide = self.fills_known or self.fills_unreported
+            length = MAX_POOL if wide else max(ORDER_SIZE, homes + ORDER_SIZE // 2)
+            order = sorted(
+                top_ranked(self.pool(job.spec.kind, job.hash), job.hash, length), key=self.in_other_part
+            )
+            order[:homes] = top_ranked(order[:homes], job.hash ^ self.salt, homes)
             if wide:
-                rest = top(found[homes + NEAR :], job.hash ^ self.salt, walk)
-                found[homes + NEAR :] = sorted(rest, key=self.foreign)
-            self.orders.setdefault(part, {})[key] = found
-        return found
+                rest = top_ranked(order[homes + EXTRA_WORKERS :], job.hash ^ self.salt, length)
+                order[homes + EXTRA_WORKERS :] = sorted(rest, key=self.in_other_part)
+            self.orders.setdefault(shard, {})[key] = order
+        return order
 
-    def foreign(self, w: Worker) -> bool:
-        """Whether a worker is of another part: what is filled there is not told to us."""
+    def in_other_part(self, w: Worker) -> bool:
+        """Return whether the worker's part reports its filled slots to other dispatchers than this one."""
         return (w.id - self.settings.me) % self.parts != 0
 
-    def homes(self, share: float, job: Job) -> int:
-        """How many workers a key with this share of the jobs needs, to the next power of two."""
-        wanted = share * (len(self.pool(job.kind.kind, job.hash)) << self.slice_bits) / self.parts
+    def home_count(self, share: float, job: Job) -> int:
+        """Return how many workers a key with this share of the jobs needs, rounded up to a power of two."""
+        wanted = share * (len(self.pool(job.spec.kind, job.hash)) << self.shard_bits) / self.parts
         return 1 << max(0, math.ceil(wanted) - 1).bit_length()
 
     def group_order(self, job: Job) -> list[Worker]:
-        """The rendezvous order within the group that drops the job's repeats."""
-        ready = [w for w in self.workers.values() if w.up and job.kind.kind in (-1, w.kind)]
-        return top([w for w in ready if in_group(job, job.suspects[0].worker, w)], job.hash, WALK)
+        """Return the key's rendezvous order within the group of workers that drops the job's repeats."""
+        ready = [w for w in self.workers.values() if w.up and job.spec.kind in (-1, w.kind)]
+        return top_ranked(
+            [w for w in ready if in_group(job, job.possible_runs[0].worker, w)], job.hash, ORDER_SIZE
+        )
 
     def take_report(self, w: Worker, report: api.Report | None, now: float) -> None:
-        """Note what a report says of the free slots."""
+        """Update the worker's free capacity from a load report; one without free_slots is ignored."""
         if not report or "free_slots" not in report:
             return
         free, held = report["free_slots"], report.get("held", 0.0)
@@ -212,171 +229,172 @@
         waiting = report.get("waiting", max(0.0, held - slots) if free < 1 else 0.0)
         if free >= 1 and free + held - waiting > slots:
             self.slots_of_kind[w.kind] = slots = free + held - waiting
-        w.free = free - waiting
+        w.free_slots = free - waiting
         if waiting >= 1:
-            # a queue stays for as long as it takes to run it: longer than any report is trusted
-            run = report.get("service_ms", self.run_ms)
-            w.full_until = now + min(BACKLOG_SHARE * waiting * run / slots, BACKLOG_MOST_MS)
+            # a queue lasts for as long as it takes to run, which is longer than a report is trusted
+            run_ms = report.get("service_ms", self.run_ms)
+            w.full_until = now + min(BACKLOG_SHARE * waiting * run_ms / slots, MAX_BACKLOG_MS)
         else:
             w.full_until = NEVER
-        w.memory = report.get("free_memory")
-        w.seen_at = now
-        if now - w.last_sent > REPORT_LAG_MS:
-            w.unseen = 0.0
+        w.free_memory = report.get("free_memory")
+        w.reported_at = now
+        if now - w.last_sent_at > REPORT_LAG_MS:
+            w.unreported_slots = 0.0
 
     def cold_budget(self, w: Worker, now: float) -> float:
-        """Work that a cold worker may still be sent by us in this turn; endless once it is warm.
+        """Return the work in ms that this dispatcher may still send to a worker in the current time slice.
 
-        All dispatchers together must not push it over and none hears of the others: in each span of fall_ms
-        a few have the turn, by their places, and share what the worker can take, a mean job each or more.
+        It is unlimited once the worker is warm. All dispatchers together must not overload a cold worker, and
+        do not communicate: in each time slice of fall_ms, a few, chosen by index, share what the worker can
+        take, a mean job or more each.
         """
-        s, w.cold_most = self.settings, 0.0
+        s, w.max_cold_work = self.settings, 0.0
         if w.started_ms <= 0 or now - w.since_ms >= s.cold_ms:
             return FOREVER
-        turn, into = divmod(now + self.ahead_ms, s.fall_ms)
-        turn, age = int(turn), now - into - w.since_ms  # as the turn began
+        time_slice, elapsed = divmod(now + self.ahead_ms, s.fall_ms)
+        time_slice, age = int(time_slice), now - elapsed - w.since_ms  # age at the start of the time slice
         share = s.cold_share + (1 - s.cold_share) * max(0.0, age) / s.cold_ms
-        hinted, took = self.ran.get(w.kind, (0.0, 0.0))
-        speed = (hinted * SPEED_SAFETY + SPEED_PRIOR_MS * SLOT_SPEED) / (took + SPEED_PRIOR_MS)
-        power = max(self.slots_of_kind.get(w.kind, 1.0), w.size) * max(speed, SLOT_SPEED)
+        hinted_ms, taken_ms = self.run_totals.get(w.kind, (0.0, 0.0))
+        speed = (hinted_ms * SPEED_SAFETY + SPEED_PRIOR_MS * MIN_SLOT_SPEED) / (taken_ms + SPEED_PRIOR_MS)
+        power = max(self.slots_of_kind.get(w.kind, 1.0), w.listed_slots) * max(speed, MIN_SLOT_SPEED)
         budget = COLD_SAFETY * s.fall_multiple * share * power * s.fall_ms
         holders = max(1, min(s.dispatchers, int(budget / (COLD_JOB_MS * max(1.0, s.dispatchers / COLD_FEW)))))
-        ours = sum((place - w.hash - turn * self.stride) % s.dispatchers < holders for place in self.places)
-        if not ours or into < self.guard_ms or now < self.no_turn_before:
+        own = sum((i - w.hash - time_slice * self.stride) % s.dispatchers < holders for i in self.indexes)
+        if not own or elapsed < self.guard_ms or now < self.no_time_slice_before:
             return 0.0
-        if w.cold_turn != turn:
-            w.cold_turn, w.cold_spent = turn, 0.0
-        w.cold_most = budget * ours / holders
-        return w.cold_most - w.cold_spent
-
-    def cold_ones(self, now: float) -> list[Worker]:
-        """Cold workers at which the turn is ours: no key's order leads there often enough while it is."""
-        if (turn := int((now + self.ahead_ms) // self.settings.fall_ms)) != self.turn:
-            self.turn = turn
-            for w in [w for w in self.cold.values() if now - w.since_ms >= self.settings.cold_ms]:
-                del self.cold[w.id]
-            self.ours = [w for w in self.cold.values() if self.cold_budget(w, now) > 0]
-        return self.ours
+        if w.cold_time_slice != time_slice:
+            w.cold_time_slice, w.cold_work_spent = time_slice, 0.0
+        w.max_cold_work = budget * own / holders
+        return w.max_cold_work - w.cold_work_spent
+
+    def eligible_cold_workers(self, now: float) -> list[Worker]:
+        """Return cold workers whose time slice is ours now: key orders alone seldom lead there meanwhile."""
+        if (time_slice := int((now + self.ahead_ms) // self.settings.fall_ms)) != self.time_slice:
+            self.time_slice = time_slice
+            for w in [w for w in self.cold_workers.values() if now - w.since_ms >= self.settings.cold_ms]:
+                del self.cold_workers[w.id]
+            self.own_cold_workers = [w for w in self.cold_workers.values() if self.cold_budget(w, now) > 0]
+        return self.own_cold_workers
 
     def count_sent(self, w: Worker, job: Job, now: float) -> None:
-        """A job is on its way."""
-        w.own += 1
-        w.filled += job.slots
-        w.unseen += job.slots
-        w.last_sent, w.cold_spent = now, w.cold_spent + job.work
+        """Count the slots and the work of a job that is sent to the worker."""
+        w.own_attempts += 1
+        w.own_slots += job.slots
+        w.unreported_slots += job.slots
+        w.last_sent_at, w.cold_work_spent = now, w.cold_work_spent + job.work
 
     def count_ended(self, a: Attempt, kind: api.OutcomeKind, now: float) -> None:
-        """An attempt is over: free its slots and judge the worker by it."""
+        """Release the slots of an attempt that ended, and update the worker's health and limit."""
         w = a.worker
-        w.own -= 1
-        w.filled -= 0.0 if a.quiet else a.job.slots
-        w.unseen = max(0.0, w.unseen - a.job.slots)
+        w.own_attempts -= 1
+        w.own_slots -= 0.0 if a.presumed_lost else a.job.slots
+        w.unreported_slots = max(0.0, w.unreported_slots - a.job.slots)
         if kind is api.OutcomeKind.SERVED:
             w.refusals = w.unreached = 0
-            w.heard_at = now
+            w.last_received_at = now
             w.strikes.pop(a.job.job_class, None)
             w.failed_until.pop(a.job.job_class, None)
-            if a.job.hint:
+            if a.job.hint_ms:
                 if a.started and w.started_ms <= 0:
-                    hinted, took = self.ran.get(w.kind, (0.0, 0.0))
-                    self.ran[w.kind] = hinted + a.job.hint, took + now - a.began_at
-                slow = now - a.sent_at > self.pace * a.job.hint
-                self.pace = max(1.0, self.pace + PACE_STEP * (self.at if slow else self.at - 1))
-            over = now - a.sent_at - (a.job.hint or self.run_ms) > self.overhead
-            self.overhead += OVERHEAD_STEP_MS * (self.at if over else self.at - 1)
-            self.run_ms += RUN_PART * (now - a.sent_at - self.run_ms)
+                    hinted_ms, taken_ms = self.run_totals.get(w.kind, (0.0, 0.0))
+                    self.run_totals[w.kind] = hinted_ms + a.job.hint_ms, taken_ms + now - a.started_at
+                slow = now - a.sent_at > self.pace * a.job.hint_ms
+                self.pace = max(1.0, self.pace + PACE_STEP * (self.quantile if slow else self.quantile - 1))
+            over = now - a.sent_at - (a.job.hint_ms or self.run_ms) > self.overhead
+            self.overhead += OVERHEAD_STEP_MS * (self.quantile if over else self.quantile - 1)
+            self.run_ms += RUN_MEAN_WEIGHT * (now - a.sent_at - self.run_ms)
             if not self.settings.tells_start:
                 w.limit += 1 / w.limit
         elif kind is api.OutcomeKind.REFUSED:
-            # a refusal is fast and frees its count: taken as acceptance it would draw more work at once
+            # A refusal is fast and frees its slot: counted as an acceptance it would attract more jobs.
             w.limit = max(1.0, w.limit / 2)
             w.suspended_until = max(w.suspended_until, now + REFUSED_MS * 2.0**w.refusals)
             w.refusals = min(w.refusals + 1, REFUSED_DOUBLINGS)
         elif kind is api.OutcomeKind.NO_CONNECTION:
             self.suspend(w, now)
         elif kind not in (api.OutcomeKind.CANCELLED, api.OutcomeKind.NOT_SENT):
-            self.blame(a, now)
+            self.record_failure(a, now)
 
-    def note_backlog(self, a: Attempt, now: float) -> None:
-        """A job began late: others wait there too, sent by dispatchers that are not heard."""
-        late = now - a.sent_at
-        if self.unheard and late > START_LATE_MS:
-            a.worker.full_until = max(a.worker.full_until, now + min(late, BACKLOG_MOST_MS))
+    def record_late_start(self, a: Attempt, now: float) -> None:
+        """Treat a worker that started a job late as full: jobs of other dispatchers queue there."""
+        late_ms = now - a.sent_at
+        if self.fills_unreported and late_ms > START_LATE_MS:
+            a.worker.full_until = max(a.worker.full_until, now + min(late_ms, MAX_BACKLOG_MS))
 
     def suspend(self, w: Worker, now: float) -> None:
-        """Leave a worker alone that cannot be reached."""
+        """Avoid a worker that cannot be reached, for all job classes."""
         if now >= w.suspended_until:
-            w.suspended_until = now + failing_ms(w.unreached)
+            w.suspended_until = now + avoidance_ms(w.unreached)
             w.limit = 1.0 if w.unreached else w.limit
             w.unreached += 1
 
-    def blame(self, a: Attempt, now: float) -> None:
-        """Leave a worker alone that failed: one that errs quickly is always free and would win every job.
+    def record_failure(self, a: Attempt, now: float) -> None:
+        """Avoid a worker that failed: one that fails fast is always free and would attract every job.
 
-        It is left by jobs of this class alone, as the others may run there as ever. What began and was never
-        answered, by a worker that has answered others since, is a lost answer and not a worker that fails.
+        Only this job class avoids it, as other classes may still run there. If the attempt started but was
+        never answered, and the worker has answered others since, the answer was lost and the worker is fine.
         """
         w, job_class = a.worker, a.job.job_class
-        lost = a.started and w.heard_at > a.heard_at
-        if not lost and now >= w.failed_until.get(job_class, NEVER):
+        answer_lost = a.started and w.last_received_at > a.last_received_at
+        if not answer_lost and now >= w.failed_until.get(job_class, NEVER):
             strikes = w.strikes.get(job_class, 0)
             w.limit = 1.0 if strikes else max(1.0, w.limit - LIMIT_STEP)
-            w.failed_until[job_class] = now + failing_ms(strikes)
+            w.failed_until[job_class] = now + avoidance_ms(strikes)
             w.strikes[job_class] = strikes + 1
 
-    def most_fail(self, job: Job, now: float) -> bool:
-        """Whether most workers have failed this class of late: then that tells nothing of any one of them."""
-        pool = self.pool(job.kind.kind, job.hash)
-        return sum(now < w.failed_until.get(job.job_class, NEVER) for w in pool) > EXCLUDED_MOST * len(pool)
+    def majority_failing(self, job: Job, now: float) -> bool:
+        """Return whether most workers failed this class recently; then no single one is to blame."""
+        pool = self.pool(job.spec.kind, job.hash)
+        return sum(now < w.failed_until.get(job.job_class, NEVER) for w in pool) > MAX_EXCLUDED * len(pool)
 
-    def set_quiet(self, a: Attempt, quiet: bool) -> None:
-        """The attempt is taken to be over at its worker, or goes on."""
-        if a.quiet is not quiet:
-            a.quiet = quiet
-            a.worker.filled -= a.job.slots if quiet else -a.job.slots
+    def set_presumed_lost(self, a: Attempt, lost: bool) -> None:
+        """Set whether an attempt's answer is presumed lost; such an attempt occupies no slot."""
+        if a.presumed_lost is not lost:
+            a.presumed_lost = lost
+            a.worker.own_slots -= a.job.slots if lost else -a.job.slots
 
 
-def stride(count: int) -> int:
-    """How far the places move on from turn to turn: about the golden ratio of all, and each comes round."""
-    found = max(1, round(count * 0.618))
-    while math.gcd(found, count) > 1:
-        found += 1
-    return found
+def index_stride(count: int) -> int:
+    """Return the shift of indexes per time slice: about 0.618 of the count; coprime, so it reaches all."""
+    stride = max(1, round(count * 0.618))
+    while math.gcd(stride, count) > 1:
+        stride += 1
+    return stride
 
 
-def failing_ms(times: int) -> float:
-    """How long a worker is left alone that has failed so many times in a row before."""
-    return min(SUSPEND_MS * 2.0 ** (times - 1), SUSPEND_MOST_MS) if times else SUSPEND_ONCE_MS
+def avoidance_ms(failures: int) -> float:
+    """Return for how long a worker is avoided that failed this many times in a row before."""
+    return min(SUSPEND_MS * 2.0 ** (failures - 1), MAX_SUSPEND_MS) if failures else SUSPEND_ONCE_MS
 
 
 def in_group(job: Job, anchor: Worker, w: Worker) -> bool:
-    """Whether a worker drops repeats of what the anchor may have run."""
-    group = job.kind.group
+    """Return whether a worker drops repeats of a job that the anchor may have run."""
+    group = job.spec.group
     near = w.zone == anchor.zone if group is api.Group.ZONE else w.cell == anchor.cell
     return near or group is api.Group.ALL
 
 
 class Hashed(Protocol):
-    """Whatever has a place in rendezvous orders."""
+    """An object that rendezvous hashing can rank."""
 
     @property
     def id(self) -> int:
-        """Breaks ties."""
+        """Number that breaks ties."""
 
     @property
     def hash(self) -> int:
-        """64 bits."""
+        """64-bit hash."""
 
 
 Ranked = TypeVar("Ranked", bound=Hashed)
 
 
-def top(pool: list[Ranked], key_hash: int, count: int) -> list[Ranked]:
-    """The members of a pool with the key's highest rendezvous hashes, best first."""
-    # scores are even over 64 bits: of a large pool only the likely ones are kept and sorted
-    least = 0 if len(pool) <= 3 * count else MASK - MASK * 2 * count // len(pool)
-    scored = [(s, w.id, w) for w in pool if (s := (w.hash ^ key_hash) * ODD & MASK) > least]
+def top_ranked(pool: list[Ranked], key_hash: int, count: int) -> list[Ranked]:
+    """Return the `count` members of a pool with the highest rendezvous scores for a key, best first."""
+    # Scores are uniform over 64 bits: only the likely members of a large pool are kept and sorted.
+    min_score = 0 if len(pool) <= 3 * count else MASK_64 - MASK_64 * 2 * count // len(pool)
+    scored = [(s, w.id, w) for w in pool if (s := (w.hash ^ key_hash) * GOLDEN_GAMMA & MASK_64) > min_score]
     if len(scored) < min(count, len(pool)):
-        scored = [((w.hash ^ key_hash) * ODD & MASK, w.id, w) for w in pool]
+        scored = [((w.hash ^ key_hash) * GOLDEN_GAMMA & MASK_64, w.id, w) for w in pool]
     scored.sort(reverse=True)
     return [w for _, _, w in scored[:count]]
--- a/tests/test_cores_model.py
+++ b/tests/test_cores_model.py
@@ -189,7 +189,7 @@
             dead = sum(ghosts.get(worker, 0) for _, ghosts in self.ghosts) // SLOT
             others = sum(n for (c, w), n in self.filled.items() if w == worker and c != core) + dead
             assert (share.slots if share else 0) == others
-            told = share.spent if share is not None and share.turn == self.turn else 0.0
+            told = share.spent if share is not None and share.time_slice == self.turn else 0.0
             assert abs(told - self.spent.get((worker, self.turn), 0.0)) < 0.01
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -240,20 +240,20 @@
         d.step(20, [api.Note("a", 0, first.worker, api.Progress.STARTED, 0.0)])
         d.step(1500, [])
         w = d.table.workers[first.worker]
-        assert w.filled == 1
+        assert w.own_slots == 1
         # its worker goes on to tell of others
         d.step(1700, [api.ProbeResult(first.worker, True, 1.0, None)])
         actions = d.step(2300, [])
-        assert w.filled == 0
+        assert w.own_slots == 0
         assert [type(a) for a in actions if isinstance(a, api.Cancel)] == [api.Cancel] * (job_class == 1)
         if job_class == 1:
             again = sends(d.step(2310, [outcome(first, api.OutcomeKind.CANCELLED, done=False)]))
             assert [s.job for s in again] == ["a"]
         else:  # a note after all: it counts again, and its end is counted once
             d.step(2310, [api.Note("a", 0, first.worker, api.Progress.SHARE_DONE, 0.5)])
-            assert w.filled == 1
+            assert w.own_slots == 1
             d.step(2400, [outcome(first, SERVED)])
-            assert w.filled == 0
+            assert w.own_slots == 0
 
 
 def test_a_worker_that_answers_others_is_not_left_alone_for_a_lost_answer() -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -264,7 +264,7 @@
         modules = {me: self.module(me, nodes) for me in places}
         windows: dict[int, float] = defaultdict(float)
         for me, d in modules.items():
-            given_places = api.Shares((), fleet=True, places=places[me], guard_ms=guard)
+            given_places = api.Shares((), fleet=True, indexes=places[me], guard_ms=guard)
             d.step(start, [api.WorkerList(api.ListForm.CACHED, cold), given_places])
         for i in range(12_000 // 40):
             for me, d in modules.items():
--- a/tests/test_limits_soft.py
+++ b/tests/test_limits_soft.py
@@ -278,7 +278,7 @@
         whole, part = LimitConfig("all", "soft", 50.0), LimitConfig("part", "soft", 5.0, tenant=1)
         again = LimitConfig("again", "soft", retries=0.1)
         book = self.book("a", whole, part, again)
-        self.assertEqual([a.limit for a in book.advise(0.0)], [0, 1, api.RETRIES])
+        self.assertEqual([a.limit for a in book.advise(0.0)], [0, 1, api.RETRY_LIMIT])
         other = LimitConfig("part", "soft", 5.0, tenant=0)  # of the same name, and another one
         new = LimitConfig("new", "soft", 9.0, job_class=1)
         told = book.change(10.0, FleetLimitsConfig((other, new)))
@@ -286,7 +286,7 @@
         found = book.advise(10.0)
         self.assertEqual({a.limit for a in found if a.jobs < math.inf}, {0, 1})
         # what is over limits nobody any more, and its number may be another's
-        self.assertEqual([(a.limit, a.worth) for a in found if a.jobs == math.inf], [(api.RETRIES, 1.0)])
+        self.assertEqual([(a.limit, a.worth) for a in found if a.jobs == math.inf], [(api.RETRY_LIMIT, 1.0)])
         self.assertEqual((book.counts(0, 1), book.counts(1, 0)), ((0, 1), ()))
         lower = FleetLimitsConfig((other, replace(new, rate=3.0)))
         self.assertEqual(book.change(20.0, lower), ["new 9 to 3"])
@@ -319,7 +319,7 @@
             book.tick(now, ("a",), 1, 0, 0.0)
         rate = book._rate(now, book.limits[0])
         self.assertAlmostEqual(rate, 1 + 0.2 * 20, delta=1.2)
-        self.assertEqual(book.advise(now)[0].limit, api.RETRIES)
+        self.assertEqual(book.advise(now)[0].limit, api.RETRY_LIMIT)
         self.assertNotEqual(book.limits[0].key, FIRST_TRIES)
 
 
--- a/tests/test_list_scale.py
+++ b/tests/test_list_scale.py
@@ -163,7 +163,7 @@
             d.step(
                 1000.0 * second, [api.WorkerList(api.ListForm.DELTA, (others[0], *others[1:][: second < 2]))]
             )
-        self.assertEqual(d.table.workers[sent.worker].own, 1)
+        self.assertEqual(d.table.workers[sent.worker].own_attempts, 1)
         d.step(201_000.0, [outcome(sent, api.OutcomeKind.SERVED)])
         d.step(262_000.0, [api.WorkerList(api.ListForm.DELTA, (entry(2),))])
         d.step(323_000.0, [api.WorkerList(api.ListForm.DELTA, (entry(3),))])
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -119,13 +119,13 @@
         """A new process uses no turn that it did not begin with (`Engine.pass_turns`)."""
         turn = self.deployment.known.fall_ms
         self.nodes[number] = self.node(number, now)
-        self.nodes[number].step(now, [api.Shares((), places=())])
+        self.nodes[number].step(now, [api.Shares((), indexes=())])
         self.idle_until[number] = now + turn - now % turn
 
     def come_back(self, number: int, now: float) -> None:
         if 0 < self.idle_until[number] <= now:
             self.idle_until[number] = 0.0
-            self.nodes[number].step(now, [api.Shares((), places=(number,))])
+            self.nodes[number].step(now, [api.Shares((), indexes=(number,))])
 
     def take(self, number: int, now: float, actions: Iterable[api.Action]) -> None:
         """Count what goes to the cold worker; a third of it is turned away there, and may come again."""
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -77,16 +77,16 @@
                 events: list[api.Event] = [job(f"{i}", draw.randrange(3), key=draw.randrange(4))]
                 if out and draw.random() < 0.5:
                     ended = out.pop(draw.randrange(len(out)))
-                    a = next(a for (name, _), a in d.ledger.out.items() if name == ended.job)
+                    a = next(a for (name, _), a in d.ledger.in_flight.items() if name == ended.job)
                     events.append(outcome(ended, draw.choice(kinds), a.number))
                 out += sends(d.step(now, events))
-                out = [s for s in out if any(name == s.job for name, _ in d.ledger.out)]
+                out = [s for s in out if any(name == s.job for name, _ in d.ledger.in_flight)]
                 for name in d.held:
-                    if d.held[name].retry_at > now and not d.held[name].awaited:
+                    if d.held[name].retry_at > now and not d.held[name].pending_probes:
                         found = why_held(d, name, now)
                         assert found is not None
                         held += 1
-                        if d.held[name].retry_ms > 0 and d.held[name].arrived == now:
+                        if d.held[name].retry_ms > 0 and d.held[name].arrived_at == now:
                             self.assertNotIn("unseen", found, (seed, i, name))
         self.assertGreater(held, 200)
         self.assertIsNone(why_held(d, "nobody", now))
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -440,7 +440,7 @@
         settings = api.Settings(classes=(api.JobClass(aim_ms=400, deadline_ms=5000),), tells_start=True)
         module = Dispatcher(settings, 1)
         entries = tuple(api.WorkerEntry(worker=n) for n in (7, 8))
-        module.step(0.0, [api.WorkerList(api.ListForm.FULL, entries), api.Verdict(7, 0, out=True)])
+        module.step(0.0, [api.WorkerList(api.ListForm.FULL, entries), api.Verdict(7, 0, excluded=True)])
 
         def sent(now: float, job: str) -> list[int]:
             actions = module.step(now, [api.Arrival(job, 0, grace_ms=5000.0, key=1)])
@@ -450,7 +450,7 @@
         module.table.workers[7].limit = 9.0
         module.step(3.0, [api.Verdict(7, 0, rank=-1)])
         self.assertEqual(module.table.workers[7].limit, 1.0)
-        module.step(4.0, [api.Verdict(7, 0, out=True)])
-        self.assertEqual(module.table.out, {(7, 0)})
+        module.step(4.0, [api.Verdict(7, 0, excluded=True)])
+        self.assertEqual(module.table.excluded, {(7, 0)})
         module.step(5.0, [api.Verdict(7, 0)])
-        self.assertEqual((module.table.out, module.table.ranks), (set(), {}))
+        self.assertEqual((module.table.excluded, module.table.ranks), (set(), {}))
