--- a/spoolpier/benchlink.py
+++ b/spoolpier/benchlink.py
@@ -1,4 +1,7 @@
-"""Adapter between the bench's wire (standard input and output) and the interface. It decides nothing."""
+"""Adapter between the benchmark's wire protocol on standard input and output and the decision module.
+
+Messages are lines of tab-separated fields. The adapter makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -38,16 +41,16 @@
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """The input violates the wire protocol."""
 
 
-def optional(text: str) -> float | None:
-    """A number that may be absent."""
+def optional_number(text: str) -> float | None:
+    """Parse a number; "-" means absent."""
     return None if text == "-" else float(text)
 
 
-def read_report(text: str) -> api.Report | None:
-    """A load report; values without a name of ours are left out."""
+def parse_report(text: str) -> api.Report | None:
+    """Parse a load report; unknown values are skipped."""
     if text == "-" or not text:
         return None
     report = {}
@@ -58,75 +61,85 @@
     return report
 
 
-def read_arrival(p: list[str]) -> api.Event:
-    """ARRIVAL handle hint grace tenant options slots class key memory."""
-    options = 0 if p[5] == "-" else int(p[5])
+def parse_arrival(fields: list[str]) -> api.Event:
+    """Parse: ARRIVAL handle hint grace tenant options slots class key memory."""
+    options = 0 if fields[5] == "-" else int(fields[5])
     return api.Arrival(
-        job=p[1],
-        job_class=int(p[7]),
-        grace_ms=float(p[3]),
-        key=None if p[8] == "-" else int(p[8], 16),
-        hint_ms=optional(p[2]) if options & HINT_VALID else None,
-        slots=1.0 if p[6] == "-" else float(p[6]),
-        memory=None if len(p) < 10 else optional(p[9]),
-        tenant=None if p[4] == "-" else int(p[4]),
+        job=fields[1],
+        job_class=int(fields[7]),
+        grace_ms=float(fields[3]),
+        key=None if fields[8] == "-" else int(fields[8], 16),
+        hint_ms=optional_number(fields[2]) if options & HINT_VALID else None,
+        slots=1.0 if fields[6] == "-" else float(fields[6]),
+        memory=None if len(fields) < 10 else optional_number(fields[9]),
+        tenant=None if fields[4] == "-" else int(fields[4]),
         repeat=bool(options & REPEAT),
     )
 
 
-def read_outcome(p: list[str]) -> api.Event:
-    """RESOLVED handle attempt worker status elapsed done info report."""
-    kind = OUTCOMES.get(p[4], api.OutcomeKind.UNKNOWN)
-    return api.Outcome(p[1], int(p[2]), int(p[3]), kind, float(p[5]), p[6] == "1", read_report(p[8]))
+def parse_outcome(fields: list[str]) -> api.Event:
+    """Parse: RESOLVED handle attempt worker status elapsed done info report."""
+    kind = OUTCOMES.get(fields[4], api.OutcomeKind.UNKNOWN)
+    return api.Outcome(
+        fields[1],
+        int(fields[2]),
+        int(fields[3]),
+        kind,
+        float(fields[5]),
+        fields[6] == "1",
+        parse_report(fields[8]),
+    )
 
 
-def read_note(p: list[str]) -> api.Event | None:
-    """UPDATE_OF handle attempt worker sort value."""
-    sort = NOTES.get(p[4])
-    share = 0.0 if p[5] == "-" else float(p[5])
-    return None if sort is None else api.Note(p[1], int(p[2]), int(p[3]), sort, share)
+def parse_note(fields: list[str]) -> api.Event | None:
+    """Parse: UPDATE_OF handle attempt worker progress value."""
+    progress = NOTES.get(fields[4])
+    share = 0.0 if fields[5] == "-" else float(fields[5])
+    return None if progress is None else api.Note(fields[1], int(fields[2]), int(fields[3]), progress, share)
 
 
-def read_probe(p: list[str]) -> api.Event:
-    """PROBE_RESULT elapsed status worker report."""
-    return api.ProbeResult(int(p[3]), p[2] == "0", float(p[1]), read_report(p[4]))
+def parse_probe(fields: list[str]) -> api.Event:
+    """Parse: PROBE_RESULT elapsed status worker report."""
+    return api.ProbeResult(int(fields[3]), fields[2] == "0", float(fields[1]), parse_report(fields[4]))
 
 
-def read_peer(p: list[str]) -> api.Event:
-    """MAIL sender data."""
-    return api.PeerMessage(int(p[1]), b"" if p[2] == "-" else base64.b64decode(p[2], validate=True))
+def parse_peer(fields: list[str]) -> api.Event:
+    """Parse: MAIL sender data."""
+    return api.PeerMessage(
+        int(fields[1]), b"" if fields[2] == "-" else base64.b64decode(fields[2], validate=True)
+    )
 
 
-READERS: dict[str, Callable[[list[str]], api.Event | None]] = {
-    "ARRIVAL": read_arrival,
-    "RESOLVED": read_outcome,
-    "UPDATE_OF": read_note,
-    "PROBE_RESULT": read_probe,
-    "ALARM": lambda p: api.Timer(int(p[1])),
-    "CLIENT_LEFT": lambda p: api.ClientGone(p[1]),
-    "FIRST": lambda p: api.StreamStarted(p[1], int(p[4]), int(p[3])),
-    "MAIL": read_peer,
+PARSERS: dict[str, Callable[[list[str]], api.Event | None]] = {
+    "ARRIVAL": parse_arrival,
+    "RESOLVED": parse_outcome,
+    "UPDATE_OF": parse_note,
+    "PROBE_RESULT": parse_probe,
+    "ALARM": lambda fields: api.Timer(int(fields[1])),
+    "CLIENT_LEFT": lambda fields: api.ClientGone(fields[1]),
+    "FIRST": lambda fields: api.StreamStarted(fields[1], int(fields[4]), int(fields[3])),
+    "MAIL": parse_peer,
 }
 
 
-def read_entry(line: str) -> api.WorkerEntry:
-    """One M line: cell, kind, worker, start, state, weight, zone."""
-    p = line.split("\t")
-    if p[0] != "M":
-        raise WireError("expected an M line")
+def parse_entry(line: str) -> api.WorkerEntry:
+    """Parse an entry of a worker list: M cell kind worker start state weight zone."""
+    fields = line.split("\t")
+    if fields[0] != "M":
+        raise WireError("expected a worker entry (M line)")
     return api.WorkerEntry(
-        worker=int(p[3]),
-        zone=int(p[7]),
-        cell=int(p[1]),
-        kind=int(p[2]),
-        weight=1.0 if p[6] == "-" else float(p[6]),
-        started_ms=0.0 if p[4] == "-" else float(p[4]),
-        state=STATES[p[5]],
+        worker=int(fields[3]),
+        zone=int(fields[7]),
+        cell=int(fields[1]),
+        kind=int(fields[2]),
+        weight=1.0 if fields[6] == "-" else float(fields[6]),
+        started_ms=0.0 if fields[4] == "-" else float(fields[4]),
+        state=STATES[fields[5]],
     )
 
 
-def write(action: api.Action) -> str:
-    """One action as a wire line."""
+def format_action(action: api.Action) -> str:
+    """Return an action as a line of the wire protocol, without the line end."""
     match action:
         case api.Send(job, worker, timeout):
             return f"HAND_OFF\t{job}\t{timeout:.3f}\t{worker}" if timeout else f"HAND_OFF\t{job}\t-\t{worker}"
@@ -149,53 +162,56 @@
 
 
 class Link:
-    """Many dispatchers behind one pair of streams."""
+    """Serves any number of dispatchers over one pair of streams."""
 
     def __init__(self) -> None:
         self.dispatchers: dict[int, Dispatcher] = {}
 
-    def answer(self, now: float, lines: Iterator[str], out: TextIO) -> None:
-        """Read one batch up to GO, step the dispatchers concerned, write the reply."""
-        batches: dict[int, list[api.Event]] = {}
+    def answer_batch(self, now: float, lines: Iterator[str], out: TextIO) -> None:
+        """Read one batch up to GO, step the dispatchers that it addresses, and write the reply.
+
+        Raises WireError for a malformed line. An exception in a dispatcher is reported as its FAULT.
+        """
+        events_by_node: dict[int, list[api.Event]] = {}
         started: dict[int, tuple[int, dict[str, Any]]] = {}
         node = -1
         events: list[api.Event] = []
         for raw in lines:
             line = raw.rstrip("\n")
-            word = line.partition("\t")[0]
+            message_type = line.partition("\t")[0]
             try:
-                if word == "GO":
+                if message_type == "GO":
                     break
-                if word == "ABOUT":
+                if message_type == "ABOUT":
                     node = int(line.split("\t")[1])
-                    events = batches.setdefault(node, [])
-                elif word == "MEMBERS":
-                    p = line.split("\t")
-                    count = 0 if p[3] == "-" else int(p[3])
+                    events = events_by_node.setdefault(node, [])
+                elif message_type == "MEMBERS":
+                    fields = line.split("\t")
+                    count = 0 if fields[3] == "-" else int(fields[3])
                     entries = []
                     for _ in range(count):
                         line = next(lines).rstrip("\n")
-                        entries.append(read_entry(line))
-                    events.append(api.WorkerList(FORMS[p[1]], tuple(entries)))
-                elif word == "POWER_ON":
-                    p = line.split("\t", 2)
-                    started[node] = int(p[1]), json.loads(p[2])
+                        entries.append(parse_entry(line))
+                    events.append(api.WorkerList(FORMS[fields[1]], tuple(entries)))
+                elif message_type == "POWER_ON":
+                    fields = line.split("\t", 2)
+                    started[node] = int(fields[1]), json.loads(fields[2])
                     events.clear()
-                elif word == "DESTROY":
+                elif message_type == "DESTROY":
                     self.dispatchers.pop(node, None)
                     started.pop(node, None)
                     events.clear()
-                elif word in READERS:
-                    event = READERS[word](line.split("\t"))
+                elif message_type in PARSERS:
+                    event = PARSERS[message_type](line.split("\t"))
                     if event is not None:
                         events.append(event)
-                elif not word.isupper():
-                    raise WireError("not a message")
+                elif not message_type.isupper():
+                    raise WireError("not a message type")
             except (ValueError, IndexError, KeyError, StopIteration, WireError) as error:
                 raise WireError(f"malformed line {line[:200]!r}: {error}") from error
         else:
-            raise WireError("input ended inside a batch")
-        for node, events in batches.items():
+            raise WireError("input ended within a batch")
+        for node, events in events_by_node.items():
             out.write(f"FOR\t{node}\n")
             try:
                 if node in started:
@@ -203,7 +219,7 @@
                     self.dispatchers[node] = Dispatcher(read_settings(env), seed)
                 if node in self.dispatchers and events:
                     for action in self.dispatchers[node].step(now, events):
-                        out.write(write(action) + "\n")
+                        out.write(format_action(action) + "\n")
             except Exception as error:
                 text = " ".join(f"{type(error).__name__}: {error}".split())
                 out.write(f"FAULT\t{text}\n")
@@ -211,21 +227,21 @@
         out.flush()
 
     def run(self, source: TextIO, out: TextIO) -> None:
-        """Answer batches until the input ends."""
+        """Answer batches until the input ends. Raises WireError for malformed input."""
         lines = iter(source)
         for raw in lines:
-            p = raw.rstrip("\n").split("\t")
+            fields = raw.rstrip("\n").split("\t")
             try:
-                if p[0] != "FRAME":
-                    raise WireError("expected FRAME")
-                now = float(p[1])
+                if fields[0] != "FRAME":
+                    raise WireError("expected a FRAME line")
+                now = float(fields[1])
             except (ValueError, IndexError, WireError) as error:
                 raise WireError(f"malformed line {raw.rstrip()[:200]!r}: {error}") from error
-            self.answer(now, lines, out)
+            self.answer_batch(now, lines, out)
 
 
 def main() -> int:
-    """Serve the wire on standard input and output."""
+    """Serve standard input and output; returns the exit status."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
         Link().run(sys.stdin, sys.stdout)
--- a/spoolpier/interface.py
+++ b/spoolpier/interface.py
@@ -144,7 +144,7 @@
     def __post_init__(self) -> None:
         """Raise ValueError for unusable settings; the message names the invalid one."""
         if not self.classes:
-            raise ValueError("classes: at least one job class is required")
+            raise ValueError("classes: at least one is needed")
         for job_class in self.classes:
             if not job_class.deadline_ms > 0:
                 raise ValueError(f"classes: deadline_ms must be above 0, not {job_class.deadline_ms}")
--- a/spoolpier/ledger.py
+++ b/spoolpier/ledger.py
@@ -52,7 +52,7 @@
     def send(self, job: Job, w: Worker, now: float) -> None:
         """Begin an attempt of the job on this worker. Raises RuntimeError if the rules forbid it."""
         if not self.may_send(job, w, now):
-            raise RuntimeError(f"rules 1 and 2 forbid sending job {job.id} to worker {w.id}")
+            raise RuntimeError(f"job {job.id} must not be sent to worker {w.id}")
         not_after = self.repeat_deadline(job)
         a = Attempt(job, job.attempts, w, now)
         job.attempts += 1
