--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on wire text of our own."""
+"""The adapter (spoolpier.benchlink) on hand-written wire messages."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     return json.dumps({**ENV, **changes})
 
 
-def talk(*batches: str) -> list[list[str]]:
-    """Feed batches of events; the reply to each, without its end mark."""
+def exchange(*batches: str) -> list[list[str]]:
+    """Send batches of events and return the lines of each reply, without DONE."""
     out = io.StringIO()
     text = "".join(f"FRAME\t{10 * i}\n{b}GO\n" for i, b in enumerate(batches))
     Link().run(io.StringIO(text), out)
@@ -45,30 +45,30 @@
 ARRIVAL = "ABOUT\t4\nARRIVAL\ta/b\t12.0\t900.0\t-\t1\t1\t0\t00000000000000ff\t-\n"
 
 
-def test_a_job_is_sent_and_its_outcome_taken() -> None:
+def test_a_job_is_sent_and_its_outcome_accepted() -> None:
     served = "ABOUT\t4\nRESOLVED\ta/b\t0\t77\t0\t8.5\t1\t-\tx0:3,mystery:9\n"
-    replies = talk(START, ARRIVAL, served)
+    replies = exchange(START, ARRIVAL, served)
     assert "HAND_OFF\ta/b\t-\t77" in replies[1]
     assert not any(line.startswith(("HAND_OFF", "SHED", "SURRENDER")) for line in replies[2])
 
 
-def test_two_instances_share_nothing_and_answer_under_their_own_number() -> None:
-    other = START.replace("ABOUT\t4", "ABOUT\t9")
-    replies = talk(START + other, ARRIVAL + ARRIVAL.replace("ABOUT\t4", "ABOUT\t9"))
+def test_two_dispatchers_are_independent_and_answer_under_their_own_number() -> None:
+    second_start = START.replace("ABOUT\t4", "ABOUT\t9")
+    replies = exchange(START + second_start, ARRIVAL + ARRIVAL.replace("ABOUT\t4", "ABOUT\t9"))
     assert replies[1].count("HAND_OFF\ta/b\t-\t77") == 2
     assert [line for line in replies[1] if line.startswith("FOR")] == ["FOR\t4", "FOR\t9"]
 
 
-def test_destroyed_and_started_in_one_batch_forgets_all() -> None:
-    again = "ABOUT\t4\nDESTROY\n" + START
-    replies = talk(START, ARRIVAL, again, ARRIVAL)
+def test_a_dispatcher_destroyed_and_started_in_one_batch_has_no_state() -> None:
+    restart = "ABOUT\t4\nDESTROY\n" + START
+    replies = exchange(START, ARRIVAL, restart, ARRIVAL)
     assert "HAND_OFF\ta/b\t-\t77" in replies[3]
 
 
-def test_an_unknown_outcome_means_it_may_have_run() -> None:
-    once = ARRIVAL.replace("\t1\t1\t0\t", "\t1\t1\t1\t")
-    odd = "ABOUT\t4\nRESOLVED\ta/b\t0\t77\t99\t8.5\t0\t-\t-\n"
-    replies = talk(START, once, odd)
+def test_after_an_unknown_outcome_the_job_may_have_run() -> None:
+    unsafe_arrival = ARRIVAL.replace("\t1\t1\t0\t", "\t1\t1\t1\t")
+    unknown_outcome = "ABOUT\t4\nRESOLVED\ta/b\t0\t77\t99\t8.5\t0\t-\t-\n"
+    replies = exchange(START, unsafe_arrival, unknown_outcome)
     assert "SURRENDER\ta/b" in replies[2]
 
 
@@ -88,19 +88,19 @@
         "SOMETHING_NEW\t1\t2\n",
     ],
 )
-def test_events_of_no_concern_are_passed_over(event: str) -> None:
-    replies = talk(START, "ABOUT\t4\n" + event)
+def test_irrelevant_and_unknown_events_are_ignored(event: str) -> None:
+    replies = exchange(START, "ABOUT\t4\n" + event)
     assert not any(line.startswith(("FAULT", "SHED", "SURRENDER", "HAND_OFF")) for line in replies[1])
 
 
-@pytest.mark.parametrize("bad", ["ARRIVAL\tx\n", "what is this\n", "MEMBERS\tcached\t1\t2\nGO\n"])
-def test_a_malformed_line_is_quoted(bad: str) -> None:
-    with pytest.raises(WireError, match=bad.split("\t")[0].split("\n")[0][:4] + "|GO"):
-        talk(START, "ABOUT\t4\n" + bad)
+@pytest.mark.parametrize("line", ["ARRIVAL\tx\n", "what is this\n", "MEMBERS\tcached\t1\t2\nGO\n"])
+def test_a_malformed_line_is_quoted_in_the_error(line: str) -> None:
+    with pytest.raises(WireError, match=line.split("\t")[0].split("\n")[0][:4] + "|GO"):
+        exchange(START, "ABOUT\t4\n" + line)
 
 
-def test_an_exception_in_the_decisions_becomes_a_fault() -> None:
-    replies = talk(START, ARRIVAL, ARRIVAL)
+def test_an_exception_in_a_dispatcher_becomes_a_fault() -> None:
+    replies = exchange(START, ARRIVAL, ARRIVAL)
     assert any(line.startswith("FAULT\tValueError: job id given twice: a/b") for line in replies[2])
 
 
@@ -116,6 +116,6 @@
         ({"limits": {}}, "try_limit"),
     ],
 )
-def test_settings_at_fault_are_named(change: dict[str, Any], name: str) -> None:
+def test_the_error_names_an_invalid_setting(change: dict[str, Any], name: str) -> None:
     with pytest.raises(ValueError, match=name):
         read_settings(json.loads(env(**change)))
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The mechanism of the design, through step() alone."""
+"""How workers are chosen and jobs are held, tested through step() alone."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert second.worker == first.worker
 
 
-def test_a_busy_worker_is_passed_over_in_the_keys_order() -> None:
+def test_a_busy_worker_is_skipped_in_the_keys_order() -> None:
     d = started(20)
     [first] = sends(d.step(10, [job("a")]))
     [second] = sends(d.step(15, [job("b")]))
@@ -37,14 +37,14 @@
 
 def test_a_key_keeps_its_worker_when_another_leaves() -> None:
     workers = {}
-    for gone in (None, 1, 2, 3):
+    for left in (None, 1, 2, 3):
         d = started(20)
-        if gone:
-            d.step(5, [api.WorkerList(api.ListForm.DELTA, (removed(gone),))])
+        if left:
+            d.step(5, [api.WorkerList(api.ListForm.DELTA, (removed(left),))])
         [send] = sends(d.step(10, [job("a", key=77)]))
-        workers[gone] = send.worker
+        workers[left] = send.worker
     base = workers.pop(None)
-    assert all(w == base for gone, w in workers.items() if gone != base)
+    assert all(w == base for left, w in workers.items() if left != base)
 
 
 def removed(worker: int) -> api.WorkerEntry:
@@ -61,15 +61,15 @@
 
 @pytest.mark.parametrize("hinted", [False, True])
 def test_the_held_job_with_the_shorter_run_goes_first(hinted: bool) -> None:
-    """By hint where there is one, or else by the key's last send-to-outcome time."""
+    """The run time is the hint, or without one the key's last time from send to outcome."""
     d = started(1)
     runs = {"long": (1, 900.0), "short": (2, 50.0)}
     for i, (name, (key, elapsed)) in enumerate(runs.items()):
         if not hinted:
             [send] = sends(d.step(10 + 200 * i, [job(f"first {name}", key=key, hint_ms=None)]))
             d.step(110 + 200 * i, [api.Outcome(send.job, 0, 1, SERVED, elapsed, True)])
-    limit_jobs = [job(f"busy {i}", key=3) for i in range(4)]
-    busy = sends(d.step(2000, limit_jobs))
+    filling_jobs = [job(f"busy {i}", key=3) for i in range(4)]
+    busy = sends(d.step(2000, filling_jobs))
     held = [job(n, key=k, hint_ms=t if hinted else None) for n, (k, t) in runs.items()]
     assert not sends(d.step(2005, held))
     order = []
@@ -79,7 +79,7 @@
     assert order.index("short") < order.index("long")
 
 
-def test_no_worker_at_all_means_a_refusal_in_time() -> None:
+def test_without_workers_a_job_is_refused_in_time() -> None:
     d = started(0)
     actions = d.step(10, [job("a")])
     now = 10.0
@@ -91,7 +91,7 @@
     assert isinstance(finals(actions)[0], api.Refuse)
 
 
-def test_mistakes_of_the_caller_are_named() -> None:
+def test_errors_name_the_callers_mistake() -> None:
     d = started(2)
     d.step(10, [job("a")])
     with pytest.raises(ValueError, match="twice: a"):
@@ -102,16 +102,17 @@
         d.step(12, ["a"])  # type: ignore[list-item]
 
 
-def test_while_more_jobs_are_held_than_out_an_answer_has_to_be_surer() -> None:
-    """A late answer moves what a job is taken to need by more, and a job that may be late waits for no
-    slot.
+def test_with_more_jobs_held_than_in_flight_the_overhead_estimate_rises_faster() -> None:
+    """In an overload the estimate follows a higher quantile of the overhead.
+
+    A job that may be late is then given up early and does not take a slot from one that is surely in time.
     """
 
-    def moved(crowd: int) -> float:
+    def overhead_after_late_answer(job_count: int) -> float:
         d = started(1)
-        [sent] = sends(d.step(10.0, [job(f"j{i}") for i in range(crowd)]))
-        d.step(11.0, [])  # the crowd is seen
-        d.step(700.0, [outcome(sent, SERVED)])  # a job of 100 ms
+        [sent] = sends(d.step(10.0, [job(f"j{i}") for i in range(job_count)]))
+        d.step(11.0, [])  # the overload is detected in this step
+        d.step(700.0, [outcome(sent, SERVED)])  # late, for a job with a hint of 100 ms
         return d.table.overhead
 
-    assert moved(1) < moved(8) <= 20.0
+    assert overhead_after_late_answer(1) < overhead_after_late_answer(8) <= 20.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,7 @@
-"""The four rules as properties over generated sequences of events, through step() alone."""
+"""Rules 1 to 4 of the dispatcher as properties over generated sequences of events, through step() alone.
+
+The checks are in World.step and World.check_send.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +14,16 @@
 from spoolpier import interface as api
 from tests import helpers
 
-PROVEN = (api.OutcomeKind.REFUSED, api.OutcomeKind.NO_CONNECTION, api.OutcomeKind.NOT_SENT)
+PROVEN_NOT_RUN = (api.OutcomeKind.REFUSED, api.OutcomeKind.NO_CONNECTION, api.OutcomeKind.NOT_SENT)
+# milliseconds
 TICK = 5.0
-SLACK = 20.0
+TOLERANCE = 20.0
 GRACE = 1000.0
 
 
 @dataclass
-class Sent:
-    """One attempt as the world sees it."""
+class SentAttempt:
+    """An attempt as the test environment records it."""
 
     worker: int
     at: float
@@ -28,17 +32,17 @@
 
 
 @dataclass
-class Taken:
-    """One job as the world sees it."""
+class AcceptedJob:
+    """A job as the test environment records it."""
 
     job_class: int
     due: float
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentAttempt] = field(default_factory=list)
     finals: int = 0
 
 
 class World:
-    """Plays events into a dispatcher and checks every action against the four rules."""
+    """Feeds events to a dispatcher and checks every action against the four rules."""
 
     def __init__(self, duplicates: bool) -> None:
         self.settings = helpers.settings(
@@ -54,8 +58,8 @@
         )
         self.dispatcher = Dispatcher(self.settings, seed=3)
         self.now = 0.0
-        self.jobs: dict[str, Taken] = {}
-        self.barred: set[int] = set()
+        self.jobs: dict[str, AcceptedJob] = {}
+        self.unavailable: set[int] = set()
         self.cell = {i: i // 2 for i in range(1, 7)}
         self.started = dict.fromkeys(range(1, 7), 0.0)
         self.cold_work: list[tuple[float, int, float]] = []
@@ -63,12 +67,12 @@
         self.step([api.WorkerList(api.ListForm.CACHED, helpers.entries(6))])
 
     def step(self, events: list[api.Event]) -> None:
-        """One batch: settle what the events end, then check what the dispatcher does."""
+        """Process one batch: record the attempts that its events end, then check the dispatcher's actions."""
         for event in events:
             if isinstance(event, api.Outcome):
                 attempt = self.jobs[event.job].sent[event.attempt]
                 attempt.open = False
-                attempt.may_have_run = event.kind not in PROVEN
+                attempt.may_have_run = event.kind not in PROVEN_NOT_RUN
                 if event.kind is api.OutcomeKind.SERVED and not self.jobs[event.job].finals:
                     self.jobs[event.job].finals += 1
         for action in self.dispatcher.step(self.now, events):
@@ -76,40 +80,41 @@
                 case api.Send(name, worker):
                     self.check_send(self.jobs[name], worker)
                 case api.Refuse(name):
-                    taken = self.jobs[name]
-                    taken.finals += 1
-                    assert taken.job_class == 0 or not any(s.may_have_run for s in taken.sent)
+                    accepted = self.jobs[name]
+                    accepted.finals += 1
+                    assert accepted.job_class == 0 or not any(s.may_have_run for s in accepted.sent)
                 case api.Fail(name):
                     self.jobs[name].finals += 1
                 case api.Wake(at):
                     self.wakes.append(at)
-        for taken in self.jobs.values():
-            assert taken.finals <= 1
-            assert taken.finals == 1 or self.now <= taken.due + SLACK
-
-    def check_send(self, taken: Taken, worker: int) -> None:
-        """Rules 1 to 4 for one send."""
-        assert not taken.finals and len(taken.sent) < self.settings.max_attempts
-        assert worker not in self.barred
-        suspects = [s for s in taken.sent if s.may_have_run]
-        if any(s.open for s in suspects):
+        for accepted in self.jobs.values():
+            assert accepted.finals <= 1
+            assert accepted.finals == 1 or self.now <= accepted.due + TOLERANCE
+
+    def check_send(self, accepted: AcceptedJob, worker: int) -> None:
+        """Check rules 1 to 4 for one send."""
+        assert not accepted.finals and len(accepted.sent) < self.settings.max_attempts
+        assert worker not in self.unavailable
+        possible_runs = [s for s in accepted.sent if s.may_have_run]
+        if any(s.open for s in possible_runs):
             assert self.settings.may_duplicate
-        if suspects:
-            assert taken.job_class != 2
-            if taken.job_class == 1:
-                assert self.cell[worker] == self.cell[suspects[0].worker]
-                assert self.now < suspects[0].at + helpers.KEYED.window_ms
-        taken.sent.append(Sent(worker, self.now))
+        if possible_runs:
+            assert accepted.job_class != 2
+            if accepted.job_class == 1:
+                assert self.cell[worker] == self.cell[possible_runs[0].worker]
+                assert self.now < possible_runs[0].at + helpers.KEYED.window_ms
+        accepted.sent.append(SentAttempt(worker, self.now))
         age = self.now - self.started[worker]
         if self.started[worker] and age < self.settings.cold_ms:
             self.cold_work.append((self.now, worker, 100.0))
             window = self.settings.fall_ms
             sent = sum(x for t, w, x in self.cold_work if w == worker and t > self.now - window)
-            # a fast worker of one slot is the smallest thing that could fall; all three of us together
+            # the smallest worker that this amount could overload has one fast slot; the limit applies to
+            # all three dispatchers together
             assert sent <= 3.0 * 0.3 * 1.0 * window
 
     def advance(self, by: float) -> None:
-        """Let time pass, with the wake-ups asked for, and end attempts that reach the client's time."""
+        """Advance the time: deliver requested wake-ups and time out attempts at the client's deadline."""
         target = self.now + by
         while True:
             due = [w for w in self.wakes if w <= target]
@@ -120,11 +125,11 @@
             self.now = max(self.now, at)
             self.wakes = [w for w in self.wakes if w > self.now]
             events: list[api.Event] = [api.Timer(0)]
-            for name, taken in self.jobs.items():
-                if not taken.finals and taken.due <= self.now:
+            for name, accepted in self.jobs.items():
+                if not accepted.finals and accepted.due <= self.now:
                     events += [
                         api.Outcome(name, n, s.worker, api.OutcomeKind.TIMED_OUT, GRACE, False)
-                        for n, s in enumerate(taken.sent)
+                        for n, s in enumerate(accepted.sent)
                         if s.open
                     ]
             self.step(events)
@@ -146,14 +151,14 @@
 
 
 def play(world: World, steps: list[tuple[str, object, object]]) -> None:
-    """Turn generated moves into events."""
-    for what, a, b in steps:
-        if what == "job":
+    """Convert generated moves to events and process them."""
+    for move, a, b in steps:
+        if move == "job":
             assert isinstance(a, int) and isinstance(b, int)
             name = f"j{len(world.jobs)}"
-            world.jobs[name] = Taken(a, world.now + GRACE)
+            world.jobs[name] = AcceptedJob(a, world.now + GRACE)
             world.step([helpers.job(name, a, key=b, grace_ms=GRACE)])
-        elif what in ("end", "left"):
+        elif move in ("end", "left"):
             open_attempts = [
                 (name, n) for name, t in world.jobs.items() for n, s in enumerate(t.sent) if s.open
             ]
@@ -161,42 +166,45 @@
             if not open_attempts:
                 continue
             name, n = open_attempts[a % len(open_attempts)]
-            taken = world.jobs[name]
+            accepted = world.jobs[name]
             kind = b if isinstance(b, api.OutcomeKind) else api.OutcomeKind.ERROR
-            done = bool(taken.finals) or kind is api.OutcomeKind.SERVED
-            end = api.Outcome(name, n, taken.sent[n].worker, kind, 50.0, done)
-            if what == "left" and not taken.finals:
+            done = bool(accepted.finals) or kind is api.OutcomeKind.SERVED
+            end = api.Outcome(name, n, accepted.sent[n].worker, kind, 50.0, done)
+            if move == "left" and not accepted.finals:
                 # the client leaves in the same batch as an outcome, or alone
-                taken.finals += 1
+                accepted.finals += 1
                 world.step([api.ClientGone(name)] if b else [api.ClientGone(name), end])
-            elif what == "end":
+            elif move == "end":
                 world.step([end])
-        elif what == "time":
+        elif move == "time":
             assert isinstance(a, int)
             world.advance(float(a))
-        elif what == "drain":
+        elif move == "drain":
             assert isinstance(a, int)
             state = api.WorkerState.DRAINING if b else api.WorkerState.REMOVED
-            world.barred.add(a)
+            world.unavailable.add(a)
             entry = api.WorkerEntry(a, cell=world.cell[a], state=state)
             world.step([api.WorkerList(api.ListForm.DELTA, (entry,))])
-        elif what == "return":
+        elif move == "return":
             assert isinstance(a, int)
             world.now += TICK
-            world.barred.discard(a)
+            world.unavailable.discard(a)
             world.started[a] = world.now
             entry = api.WorkerEntry(a, cell=world.cell[a], started_ms=world.now)
             world.step([api.WorkerList(api.ListForm.DELTA, (entry,))])
-        elif what == "full":
+        elif move == "full":
             assert isinstance(a, set)
-            world.barred = set(range(1, 7)) - a
+            world.unavailable = set(range(1, 7)) - a
             kept = [api.WorkerEntry(i, cell=world.cell[i], started_ms=world.started[i]) for i in sorted(a)]
             world.step([api.WorkerList(api.ListForm.FULL, tuple(kept))])
-        elif what == "probe":
+        elif move == "probe":
             assert isinstance(a, int)
             world.step([api.ProbeResult(a, bool(b), 1.0, {"free_slots": 3.0} if b else None)])
 
 
+# Hypothesis derives the examples of these tests from their names and source text.
+
+
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.booleans(), st.lists(moves, max_size=60))
 def test_rules_hold_over_any_sequence(duplicates: bool, steps: list[tuple[str, object, object]]) -> None:
