--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,7 @@
-"""What a worker that has just started is sent: counted at the worker, over all nodes together."""
+"""The work sent to a worker that has just started (a cold worker), counted at the worker over all nodes.
+
+Guards against all nodes together overloading it within a window of fall_ms.
+"""
 
 from __future__ import annotations
 
@@ -18,32 +21,35 @@
 
 COLD, WARM = 1, 2
 START_MS = 1_000_000.0
-TURNS = 5  # that a play lasts
-JOBS = 200  # that all nodes are given a turn, more than they may send
-SLOWEST = 0.5  # of a unit a slot: the slowest machine that the guarantee is for (docs/guarantees.md)
-LOW_HINTS = 0.8  # of the work that a job is: two turns' parts leave room for so much
+TIME_SLICES = 5  # length of a simulation
+JOBS_PER_SLICE = 200  # jobs of all nodes together in a time slice; more than they may send
+MIN_SPEED = 0.5  # work per slot and unit of time on the slowest machine that docs/guarantees.md covers
+HINT_RATIO = 0.8  # hint over actual work; the budgets of two time slices leave a margin for hints this low
+
 
+def max_requests(count: float) -> float:
+    """Return how many requests of mean work a cold worker may get in a window (STANDING).
 
-def allowance(count: float) -> float:
-    """How many requests of mean work a cold worker may get in a window (STANDING)."""
+    count: the requests that it can process; the rest is statistical tolerance.
+    """
     return count + 3 * math.sqrt(count) + 3 if count < 30 else count + 2 * math.sqrt(count) + 2
 
 
 @dataclass
 class Deployment:
-    """Settings that no other draw is like, with `wanted` requests of mean work in the first window."""
+    """Random settings in which a cold worker can process `wanted` mean requests in the first window."""
 
     draw: random.Random
     nodes: int
     wanted: float
     slots: float = 0.0
     mean_ms: float = 0.0
-    known: api.Settings = field(default_factory=settings)
+    settings: api.Settings = field(default_factory=settings)
 
     def __post_init__(self) -> None:
         draw = self.draw
         self.slots = float(draw.randint(2, 12))
-        self.known = settings(
+        self.settings = settings(
             dispatchers=self.nodes,
             nominal_weights=True,
             tells_start=True,
@@ -55,174 +61,182 @@
         self.mean_ms = self.capacity_ms(START_MS) / self.wanted
 
     def capacity_ms(self, now: float) -> float:
-        """The work that the slowest such worker stands in a window that ends now."""
-        known = self.known
-        grown = known.cold_share + (1 - known.cold_share) * (now - START_MS) / known.cold_ms
-        return known.fall_multiple * min(1.0, grown) * self.slots * SLOWEST * known.fall_ms
+        """Return the work in ms that the slowest such worker can process in the window that ends now."""
+        s = self.settings
+        share = s.cold_share + (1 - s.cold_share) * (now - START_MS) / s.cold_ms
+        return s.fall_multiple * min(1.0, share) * self.slots * MIN_SPEED * s.fall_ms
 
 
 @dataclass
-class Sent:
-    """One attempt, as the worker counts it."""
+class SentAttempt:
+    """An attempt as counted at the worker."""
 
     at: float
     work_ms: float
 
 
 class Fleet:
-    """All nodes of a deployment, with far more work than the warm worker can do."""
+    """All nodes of a deployment, which get far more jobs than the warm worker can process.
 
-    def __init__(self, deployment: Deployment, told_late: float, restarts: float) -> None:
+    uninformed: probability that a node has not received the start of the cold worker's process.
+    restarts: probability of a node's restart per job.
+    """
+
+    def __init__(self, deployment: Deployment, uninformed: float, restarts: float) -> None:
         self.deployment, self.draw = deployment, deployment.draw
         self.restarts = restarts
         self.work: dict[str, float] = {}
         self.attempts: dict[str, int] = {}
-        self.sent: list[Sent] = []
-        self.told = [n == 0 or self.draw.random() >= told_late for n in range(deployment.nodes)]
+        self.sent: list[SentAttempt] = []
+        self.informed = [n == 0 or self.draw.random() >= uninformed for n in range(deployment.nodes)]
         self.idle_until = [0.0] * deployment.nodes
-        self.nodes = [self.node(n, START_MS) for n in range(deployment.nodes)]
+        self.nodes = [self.start_node(n, START_MS) for n in range(deployment.nodes)]
 
-    def node(self, number: int, now: float) -> Dispatcher:
-        known = replace(self.deployment.known, me=number)
-        found = Dispatcher(known, seed=number + 1)
+    def start_node(self, number: int, now: float) -> Dispatcher:
+        node_settings = replace(self.deployment.settings, me=number)
+        dispatcher = Dispatcher(node_settings, seed=number + 1)
         slots = self.deployment.slots
         warm = api.WorkerEntry(worker=WARM, weight=slots)
-        # who has not been told holds the process for the one before it
-        cold = api.WorkerEntry(worker=COLD, weight=slots, started_ms=START_MS if self.told[number] else 0.0)
-        full = api.Shares((api.Share(WARM, slots),), fleet=True)
-        found.step(now, [api.WorkerList(api.ListForm.CACHED, (warm, cold)), full])
-        return found
-
-    def times(self) -> Iterator[tuple[float, int]]:
-        """When which node is given a job."""
-        known = self.deployment.known
-        found = [
-            (START_MS + self.draw.uniform(0, TURNS * known.fall_ms), number)
+        # a node that is not informed takes the process for the previous, warm one
+        cold = api.WorkerEntry(
+            worker=COLD, weight=slots, started_ms=START_MS if self.informed[number] else 0.0
+        )
+        warm_full = api.Shares((api.Share(WARM, slots),), fleet=True)
+        dispatcher.step(now, [api.WorkerList(api.ListForm.CACHED, (warm, cold)), warm_full])
+        return dispatcher
+
+    def arrivals(self) -> Iterator[tuple[float, int]]:
+        """Yield the times of the jobs in order, each with the number of the node that gets the job."""
+        node_settings = self.deployment.settings
+        arrivals = [
+            (START_MS + self.draw.uniform(0, TIME_SLICES * node_settings.fall_ms), number)
             for number in range(self.deployment.nodes)
-            for _ in range(TURNS * max(4, JOBS // self.deployment.nodes))
+            for _ in range(TIME_SLICES * max(4, JOBS_PER_SLICE // self.deployment.nodes))
         ]
-        return iter(sorted(found))
+        return iter(sorted(arrivals))
 
-    def play(self) -> None:
-        for index, (now, number) in enumerate(self.times()):
+    def simulate(self) -> None:
+        """Give every job to its node; nodes may restart in between."""
+        for index, (now, number) in enumerate(self.arrivals()):
             if self.draw.random() < self.restarts:
                 self.restart(number, now)
-            self.come_back(number, now)
+            self.resume(number, now)
             work = self.deployment.mean_ms * self.draw.uniform(0.5, 1.5)
             name = f"{number}.{index}"
             self.work[name] = work
-            self.take(
-                number, now, self.nodes[number].step(now, [job(name, hint_ms=work * LOW_HINTS, key=index)])
+            self.send(
+                number, now, self.nodes[number].step(now, [job(name, hint_ms=work * HINT_RATIO, key=index)])
             )
 
     def restart(self, number: int, now: float) -> None:
-        """A new process uses no turn that it did not begin with (`Engine.pass_turns`)."""
-        turn = self.deployment.known.fall_ms
-        self.nodes[number] = self.node(number, now)
+        """Restart a node; a new process does not use the time slice it starts in (`Engine.pass_turns`)."""
+        fall_ms = self.deployment.settings.fall_ms
+        self.nodes[number] = self.start_node(number, now)
         self.nodes[number].step(now, [api.Shares((), indexes=())])
-        self.idle_until[number] = now + turn - now % turn
+        self.idle_until[number] = now + fall_ms - now % fall_ms
 
-    def come_back(self, number: int, now: float) -> None:
+    def resume(self, number: int, now: float) -> None:
+        """Let a restarted node use its time slices again once the one in which it started is over."""
         if 0 < self.idle_until[number] <= now:
             self.idle_until[number] = 0.0
             self.nodes[number].step(now, [api.Shares((), indexes=(number,))])
 
-    def take(self, number: int, now: float, actions: Iterable[api.Action]) -> None:
-        """Count what goes to the cold worker; a third of it is turned away there, and may come again."""
+    def send(self, number: int, now: float, actions: Iterable[api.Action]) -> None:
+        """Count sends to the cold worker; workers refuse a third of all attempts, which may be retried."""
         due = sends(actions)
         while due:
             send = due.pop()
             attempt = self.attempts.get(send.job, 0)
             self.attempts[send.job] = attempt + 1
-            if send.worker == COLD and self.told[number]:
-                self.sent.append(Sent(now, self.work[send.job]))
+            if send.worker == COLD and self.informed[number]:
+                self.sent.append(SentAttempt(now, self.work[send.job]))
             busy = self.draw.random() < 0.33
             kind = api.OutcomeKind.REFUSED if busy else api.OutcomeKind.SERVED
             due += sends(self.nodes[number].step(now, [outcome(send, kind, attempt)]))
 
-    def worst(self) -> float:
-        """The fullest window, as a share of what is allowed in it."""
-        deployment, window = self.deployment, self.deployment.known.fall_ms
-        found, first, work = 0.0, 0, 0.0
+    def worst_window(self) -> float:
+        """Return the work in the fullest window, as a share of the maximum allowed in it."""
+        deployment, window = self.deployment, self.deployment.settings.fall_ms
+        worst, first, work = 0.0, 0, 0.0
         for sent in self.sent:
             work += sent.work_ms
             while self.sent[first].at <= sent.at - window:
                 work -= self.sent[first].work_ms
                 first += 1
-            most = allowance(deployment.capacity_ms(sent.at) / deployment.mean_ms) * deployment.mean_ms
-            found = max(found, work / most)
-        return found
+            max_work = max_requests(deployment.capacity_ms(sent.at) / deployment.mean_ms) * deployment.mean_ms
+            worst = max(worst, work / max_work)
+        return worst
 
 
-class DrawnSlowStartTest(unittest.TestCase):
-    """Drawn deployments, few and many nodes, budgets under and over thirty requests."""
+class RandomSlowStartTest(unittest.TestCase):
+    """Random deployments of few and many nodes, with budgets of fewer and of more than thirty requests."""
 
-    def play(self, nodes: int, plays: int, told_late: float = 0.0, restarts: float = 0.0) -> None:
-        for seed in range(plays):
+    def check(self, nodes: int, seeds: int, uninformed: float = 0.0, restarts: float = 0.0) -> None:
+        for seed in range(seeds):
             for wanted in (6.0, 20.0, 45.0, 200.0):
-                fleet = Fleet(Deployment(random.Random(seed), nodes, wanted), told_late, restarts)
-                fleet.play()
+                fleet = Fleet(Deployment(random.Random(seed), nodes, wanted), uninformed, restarts)
+                fleet.simulate()
                 with self.subTest(seed=seed, wanted=wanted):
-                    self.assertLessEqual(fleet.worst(), 1.0)
-                    self.assertTrue(fleet.sent, "it is of no use")
+                    self.assertLessEqual(fleet.worst_window(), 1.0)
+                    self.assertTrue(fleet.sent, "the cold worker got no job")
 
     def test_one_node(self) -> None:
-        self.play(1, 6)
+        self.check(1, 6)
 
     def test_three_nodes(self) -> None:
-        self.play(3, 6)
+        self.check(3, 6)
 
     def test_twenty_four_nodes(self) -> None:
-        self.play(24, 4)
+        self.check(24, 4)
 
     def test_two_hundred_nodes(self) -> None:
-        self.play(200, 1)
+        self.check(200, 1)
 
-    def test_nodes_that_restart_within_the_window(self) -> None:
+    def test_nodes_that_restart_within_a_window(self) -> None:
         for nodes in (1, 3, 24):
-            self.play(nodes, 4, restarts=0.05)
+            self.check(nodes, 4, restarts=0.05)
 
-    def test_the_nodes_that_know_keep_to_it_whatever_the_others_do(self) -> None:
+    def test_informed_nodes_keep_within_the_budget_while_others_do_not(self) -> None:
         for nodes in (3, 24):
-            self.play(nodes, 4, told_late=0.4)
+            self.check(nodes, 4, uninformed=0.4)
 
 
 class RealNodesTest(NodeTest):
-    """Processes that know nothing of each other, before one worker that has just started."""
+    """Node processes that do not communicate, with one worker that has just started."""
 
     COUNT = 24
     COST_MS = 40.0
     FALL_S = 2.0
-    SLOTS = 4.0  # of the settings' kind of worker
+    SLOTS = 4.0  # slots of the kind of worker in SETTINGS
     SHARE = 0.05
     COLD_S = 120.0
 
-    def test_twenty_four_nodes_and_one_that_restarts_keep_to_the_budget_of_one_worker(self) -> None:
-        came: list[float] = []
+    def test_twenty_four_nodes_one_of_which_restarts_keep_within_a_workers_budget(self) -> None:
+        received_at: list[float] = []
         nodes: dict[int, Node] = {}
 
         def count(worker: Worker, request: Server, name: str) -> None:
-            came.append(time.monotonic())
+            received_at.append(time.monotonic())
             request.reply(202)
             worker.call(name, "started")
             worker.call(name, "done", result="ran")
 
-        class Told(Worker):
-            """Calls the node back whose number the job's name begins with."""
+        class CallbackWorker(Worker):
+            """Calls back the node whose number is the first part of the job's name."""
 
             def call(self, job: str, state: str, **more: object) -> int:
                 self.node = nodes[int(job.partition(".")[0])].address
                 return super().call(job, state, **more)
 
-        worker = Told("s-1", count)
-        booted, began = time.time(), time.monotonic()
+        worker = CallbackWorker("s-1", count)
+        booted_at, began_at = time.time(), time.monotonic()
         spans = {"cold_share": self.SHARE, "cold_ms": self.COLD_S * 1000, "fall_ms": self.FALL_S * 1000}
         rules = {**SETTINGS["rules"], **spans}
-        discovery = Discovery([{**worker.target(), "boot_ms": booted * 1000}])
-        for stand_in in (discovery, worker):
-            self.addCleanup(stand_in.close)
+        discovery = Discovery([{**worker.target(), "boot_ms": booted_at * 1000}])
+        for server in (discovery, worker):
+            self.addCleanup(server.close)
 
-        def begin(number: int) -> None:
+        def start_node(number: int) -> None:
             nodes[number] = self.start(
                 listen="127.0.0.1:0",
                 discovery=discovery.address,
@@ -231,28 +245,28 @@
             )
             eventually(lambda: ask(nodes[number].address, "GET", "/-/ready")[0] == 200)
 
-        with ThreadPoolExecutor(8) as several:
-            list(several.map(begin, range(self.COUNT)))
-        ends = time.monotonic() + 4 * self.FALL_S
+        with ThreadPoolExecutor(8) as executor:
+            list(executor.map(start_node, range(self.COUNT)))
+        ends_at = time.monotonic() + 4 * self.FALL_S
 
         def flood(number: int) -> None:
             index = 0
-            while time.monotonic() < ends:
+            while time.monotonic() < ends_at:
                 index += 1
                 cost = {"X-Call-Cost": f"{self.COST_MS * 1000}"}
                 nodes[number].job(f"{number}.{index}", budget=0.1, sid=f"{index:x}", **cost)
 
         floods = [threading.Thread(target=flood, args=(number,)) for number in range(1, self.COUNT)]
-        for one in floods:
-            one.start()
+        for thread in floods:
+            thread.start()
         nodes[0].kill()
-        begin(0)
+        start_node(0)
         flood(0)
-        for one in floods:
-            one.join()
-        self.assertGreater(len(came), 0)
-        for first, at in enumerate(came):
-            within = sum(at <= other < at + self.FALL_S for other in came[first:])
-            grown = self.SHARE + (1 - self.SHARE) * (at + self.FALL_S - began) / self.COLD_S
-            stands = 4.0 * grown * self.SLOTS * SLOWEST * self.FALL_S * 1000
-            self.assertLessEqual(within, allowance(stands / self.COST_MS))
+        for thread in floods:
+            thread.join()
+        self.assertGreater(len(received_at), 0)
+        for first, at in enumerate(received_at):
+            count_in_window = sum(at <= other < at + self.FALL_S for other in received_at[first:])
+            share = self.SHARE + (1 - self.SHARE) * (at + self.FALL_S - began_at) / self.COLD_S
+            capacity_ms = 4.0 * share * self.SLOTS * MIN_SPEED * self.FALL_S * 1000
+            self.assertLessEqual(count_in_window, max_requests(capacity_ms / self.COST_MS))
