--- a/spoolpier/dispatcher.py
+++ b/spoolpier/dispatcher.py
@@ -74,7 +74,10 @@
         }
 
     def step(self, now_ms: float, events: Iterable[api.Event]) -> list[api.Action]:
-        """Process the events of one moment and send held jobs. Raises ValueError or TypeError on misuse."""
+        """Process the events of one moment, send held jobs, and return the actions.
+
+        Raises ValueError if the time goes backwards, and TypeError for an unknown event.
+        """
         if now_ms < self.now:
             raise ValueError(f"time goes backwards: {now_ms} after {self.now}")
         self.now = now_ms
@@ -200,9 +203,7 @@
             if w.last_received_at > a.last_received_at + self.settings.progress_ms:
                 self.table.set_presumed_lost(a, True)
                 if a.job.spec.effect is not api.Effect.UNSAFE and self.settings.may_cancel:
-                    a.job.useful_until = (
-                        a.job.expires_at
-                    )  # it lost time by no fault of its own: late is allowed
+                    a.job.useful_until = a.job.expires_at  # a late answer is better than none
                     self.ledger.actions.append(api.Cancel(a.job.id, a.number))
             elif self.settings.may_probe and self.now - w.probe_sent_at > PROBE_LOST_MS and w.up:
                 w.probe_sent_at = self.now
--- a/spoolpier/interface.py
+++ b/spoolpier/interface.py
@@ -134,7 +134,7 @@
 
     @property
     def parts(self) -> int:
-        """Number of parts of the fleet. Parts bound traffic, as every dispatcher receives each report.
+        """Number of parts of the fleet: they bound traffic, which grows with a report's receivers.
 
         The slots filled at a worker are reported only to the dispatchers of its part: those whose index
         equals the worker's number modulo the number of parts.
--- a/spoolpier/workers.py
+++ b/spoolpier/workers.py
@@ -81,7 +81,7 @@
         self.excluded, self.ranks = set[tuple[int, int]](), dict[tuple[int, int], int]()
         self.run_totals: dict[int, tuple[float, float]] = {}  # by kind of warm worker: hints and run times
         self.run_ms = RUN_MS
-        self.overhead, self.quantile = 0.0, OVERHEAD_QUANTILE  # recent time of a job beyond its hint
+        self.overhead, self.quantile = 0.0, OVERHEAD_QUANTILE  # a quantile of the time beyond the hint
         self.pace = 1.0  # recent ratio of send-to-outcome time to hint; above 1 on machines that are shared
         self.trust_ms = TRUST_MS if settings.may_probe else TRUST_ANSWER_MS
 
