--- a/pebbledrift/core/engine.py
+++ b/pebbledrift/core/engine.py
@@ -29,7 +29,7 @@
 from pebbledrift.core.view import avoided_workers, hold_reasons, worker_summary
 from spoolpier import Dispatcher
 from spoolpier import interface as api
-from spoolpier.handover import adopt, job_state, learn, learned
+from spoolpier.handover import export_job, export_learned, import_job, import_learned
 
 log = logging.getLogger(__name__)
 
@@ -167,7 +167,7 @@
             or not open_attempts[0].destination.accepted(open_attempts[0])
         ):
             return None
-        return job_state(self._dispatcher, operation.id)
+        return export_job(self._dispatcher, operation.id)
 
     def release(self, operation: Operation) -> None:
         """Drops an operation that another process has taken over."""
@@ -190,7 +190,7 @@
         """Continues an operation of the process that this one replaces, from the state that it exported."""
         self.step_now()  # the decision module needs the worker list and the time first
         grace = self._enter(operation)
-        adopt(self._dispatcher, self._arrival(operation, grace), state)
+        import_job(self._dispatcher, self._arrival(operation, grace), state)
         now = self.clock.now_ms()
         for number in range(int(state["attempts"])):
             suspect = next((s for s in state["suspects"] if s["number"] == number), None)
@@ -343,7 +343,7 @@
             self._slice_timer = None
         if self.uses_slice_leases:
             return
-        self._event(api.Shares((), places=()))
+        self._event(api.Shares((), indexes=()))
         if count:
             slice_ms = self.settings.fall_ms
             wait = count * slice_ms - self.clock.common_ms() % slice_ms
@@ -352,20 +352,20 @@
     def _use_time_slices(self) -> None:
         self._slice_timer = None
         if not self.uses_slice_leases:
-            self._event(api.Shares((), places=(self.settings.me,)))
+            self._event(api.Shares((), indexes=(self.settings.me,)))
 
     def allowed(self) -> dict[int, float]:
         """Returns how many jobs the decision module may still accept, by fleet-wide limit."""
-        return {limit: allowance.jobs for limit, allowance in self._dispatcher.allowed.items()}
+        return {limit: allowance.jobs for limit, allowance in self._dispatcher.allowances.items()}
 
     def learned(self) -> dict[str, Any]:
         """Returns what the decision module has learned, as plain data for `learn`."""
-        return learned(self._dispatcher)
+        return export_learned(self._dispatcher)
 
     def learn(self, state: dict[str, Any]) -> None:
         """Initialises the decision module with what its predecessor has learned."""
         self.step_now()  # the worker list must be known first
-        learn(self._dispatcher, state)
+        import_learned(self._dispatcher, state)
 
     def latest_attempt(self, job: str, worker: int) -> Attempt | None:
         """Returns the latest attempt of an open operation at a worker, or None."""
@@ -460,7 +460,7 @@
         """Traces the decisions of a step and the state on which they are based."""
         for action in actions:
             if isinstance(action, api.Send):
-                work = action.work if action.most else 0.0
+                work = action.work if action.max_work else 0.0
                 summary = worker_summary(self._dispatcher, action.worker, now)
                 logs.trace("send", id=action.job, worker=action.worker, cold=work, **summary)
             elif isinstance(action, api.Refuse | api.Fail):
@@ -540,10 +540,10 @@
         if send.timeout_ms > 0:
             expires = min(expires, now + send.timeout_ms)
         attempt = Attempt(operation, number, worker, destination, now, expires)
-        attempt.time_slice = send.turn if send.most > 0 else -1
+        attempt.time_slice = send.time_slice if send.max_work > 0 else -1
         attempt.not_after_ms = min(expires, send.not_after_ms)
-        if send.most > 0:
-            slice_end_ms = (send.turn + 1) * self.settings.fall_ms - self._reported_ahead_ms
+        if send.max_work > 0:
+            slice_end_ms = (send.time_slice + 1) * self.settings.fall_ms - self._reported_ahead_ms
             attempt.not_after_ms = min(attempt.not_after_ms, slice_end_ms + MAX_SLICE_OVERRUN_MS)
         attempt.incarnation = self.destinations.incarnation(worker)
         operation.attempts.append(attempt)
@@ -552,8 +552,8 @@
         if self.neighbours is not None:
             self.neighbours.add_filled_slots(worker, operation.slots)
             # Protects a cold worker: budget that other processes spent since the last report counts too.
-            if send.most > 0 and not self.neighbours.spend_cold_budget(
-                worker, send.turn, send.work, send.most
+            if send.max_work > 0 and not self.neighbours.spend_cold_budget(
+                worker, send.time_slice, send.work, send.max_work
             ):
                 self._close_attempt(attempt, api.OutcomeKind.NOT_SENT, None)
                 return
--- a/pebbledrift/router/placement.py
+++ b/pebbledrift/router/placement.py
@@ -17,7 +17,7 @@
 from pebbledrift.control.registry import Instance, InstanceState
 from pebbledrift.router.routes import Route
 from spoolpier import interface as api
-from spoolpier.brain import Dispatcher
+from spoolpier.dispatcher import Dispatcher
 
 log = logging.getLogger(__name__)
 
@@ -165,7 +165,7 @@
 
     def failing_instances(self) -> set[str]:
         """Returns the ids of instances that failed recently at this router and get no requests now."""
-        numbers = self._dispatcher.left_alone(self._now_ms())
+        numbers = self._dispatcher.suspended_workers(self._now_ms())
         return {self._instances[number].id for number in numbers if number in self._instances}
 
     def forget_instance(self, instance: Instance) -> None:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -80,16 +80,16 @@
                 events: list[api.Event] = [job(f"{i}", rng.randrange(3), key=rng.randrange(4))]
                 if out and rng.random() < 0.5:
                     send = out.pop(rng.randrange(len(out)))
-                    a = next(a for (name, _), a in d.ledger.out.items() if name == send.job)
+                    a = next(a for (name, _), a in d.ledger.in_flight.items() if name == send.job)
                     events.append(outcome(send, rng.choice(kinds), a.number))
                 out += sends(d.step(now, events))
-                out = [s for s in out if any(name == s.job for name, _ in d.ledger.out)]
+                out = [s for s in out if any(name == s.job for name, _ in d.ledger.in_flight)]
                 for name in d.held:
-                    if d.held[name].retry_at > now and not d.held[name].awaited:
+                    if d.held[name].retry_at > now and not d.held[name].pending_probes:
                         reasons = hold_reasons(d, name, now)
                         assert reasons is not None
                         checked += 1
-                        if d.held[name].retry_ms > 0 and d.held[name].arrived == now:
+                        if d.held[name].retry_ms > 0 and d.held[name].arrived_at == now:
                             self.assertNotIn("unseen", reasons, (seed, i, name))
         self.assertGreater(checked, 200)
         self.assertIsNone(hold_reasons(d, "nobody", now))
