--- a/pebbledrift/chain/__init__.py
+++ b/pebbledrift/chain/__init__.py
@@ -1,1 +1,1 @@
-"""Chain replication of the control state, with an agreed view that reconfigures the chain."""
+"""Chain replication of the control state. Replicas reconfigure the chain by agreeing on numbered views."""
--- a/pebbledrift/chain/agreement.py
+++ b/pebbledrift/chain/agreement.py
@@ -1,6 +1,7 @@
-"""Agreement on the next view by a majority of the view before it (single-decree Paxos for each epoch).
+"""Agreement on the next view by a majority of the current one: single-decree Paxos, one instance per epoch.
 
-A promise seals the present view at whoever gave it: a chain with one member sealed commits nothing more.
+A replica that promises a ballot of the next epoch seals its current view. A chain with a sealed member
+commits nothing more.
 """
 
 from __future__ import annotations
@@ -22,40 +23,46 @@
     Vote,
 )
 from pebbledrift.chain.outbox import Outbox
-from pebbledrift.chain.planning import Plan, first_by_stamp
+from pebbledrift.chain.planning import Plan, put_newest_log_first
 from pebbledrift.chain.view import ChainMember, View, address_of
 
-GATHER_S = 0.06  # promises beyond a majority are waited for so long
-GATHER_ADDED_S = 0.3  # or so long, where the chain is well and only gets longer
-GIVE_UP_S = 0.7  # a proposal that has not succeeded by then is dropped
-RESEND_S = 0.08  # who has not answered by then is asked again: the way to it may just have come up
-PAUSE_S = 0.25  # at most, before the next: two proposers would go on for ever in step
+PROMISE_WAIT_S = 0.06  # how long a proposer waits for promises beyond a majority
+EXTEND_PROMISE_WAIT_S = 0.3  # the same, for a proposal that only extends a working chain
+PROPOSAL_TIMEOUT_S = 0.7  # a proposal that has not succeeded by then is abandoned
+RESEND_AFTER_S = 0.08  # requests without an answer are sent again: the connection may only just be up
+MAX_BACKOFF_S = (
+    0.25  # the pause before the next proposal is random, else two proposers could collide for ever
+)
 
 
 @dataclass(slots=True)
 class Proposal:
-    """An attempt of ours to bring a view about."""
+    """An attempt of this replica to have a view decided. Times are seconds of the local clock."""
 
     ballot: Ballot
     plan: Plan
-    begun: float
+    started_at: float
     resend_at: float
-    gather_s: float = GATHER_S
+    promise_wait_s: float = PROMISE_WAIT_S
     promises: dict[str, Promise] = field(default_factory=dict)
-    view: View | None = None  # proposed, once a majority has promised
+    view: View | None = None  # the proposed view, set once a majority has promised
     accepted: set[str] = field(default_factory=set)
 
 
 class Agreement:
-    """One replica's part in agreeing on views, as acceptor and as proposer."""
+    """One replica as acceptor and as proposer of views.
+
+    `last_stamp` returns the stamp of the newest log entry. `on_adopted` is called after each
+    adopted view.
+    """
 
     def __init__(
         self,
         node: str,
         incarnation: int,
         outbox: Outbox,
-        newest: Callable[[], Stamp],
-        adopted: Callable[[], None],
+        last_stamp: Callable[[], Stamp],
+        on_adopted: Callable[[], None],
         seed: int,
     ) -> None:
         self.node, self.incarnation = node, incarnation
@@ -66,23 +73,23 @@
         self.accepted_view: View | None = None
         self.proposal: Proposal | None = None
         self._round = 0
-        self._not_before = 0.0
-        self._newest = newest
-        self._adopted = adopted
+        self._next_proposal_at = 0.0
+        self._last_stamp = last_stamp
+        self._on_adopted = on_adopted
         self._random = random.Random(seed)
 
     @property
     def sealed(self) -> bool:
-        """Whether we have promised to take part in a later view only."""
+        """Whether this replica has promised a ballot of a later epoch than that of its view."""
         return self.view is not None and self.promised.epoch > self.view.epoch
 
     @property
-    def votes(self) -> bool:
-        """Whether our promises count."""
+    def is_voter(self) -> bool:
+        """Whether this replica votes on the next view."""
         return self.view is not None and self.node in self.view.voters
 
     def restore(self, view: View | None, vote: Vote | None) -> None:
-        """Take over what the disk holds."""
+        """Restore the view and the vote that were read from the disk."""
         self.view = view
         if vote is not None:
             self.promised = Ballot(*vote.promised)
@@ -90,25 +97,28 @@
             self.accepted_view = vote.accepted_view
 
     def vote(self) -> Vote:
-        """What has to be remembered of promises."""
+        """Return the record of what was promised and accepted, to be synced before any answer is sent."""
         return Vote(self.promised, self.accepted_ballot, self.accepted_view)
 
-    def learn(self, view: View) -> None:
-        """A view was decided."""
+    def adopt(self, view: View) -> None:
+        """Switch to a decided view, unless it is no newer than the current one."""
         if self.view is not None and view.epoch <= self.view.epoch:
             return
         self.view = view
         self.proposal = None
         self.outbox.persist(view)
-        self._adopted()
+        self._on_adopted()
 
     # acceptor
 
     def on_prepare(self, sender: str, message: Prepare) -> None:
-        """Promise, if no later ballot was promised and the view is the next one. The same may ask again."""
-        self.learn(message.base)
+        """Promise a ballot of the next epoch, unless a higher one was promised.
+
+        The promise is sent once it is synced. A repeated request is answered again.
+        """
+        self.adopt(message.base)
         ballot = Ballot(*message.ballot)
-        if not self._may_answer(ballot) or ballot < self.promised:
+        if not self._may_vote_on(ballot) or ballot < self.promised:
             self._reject(sender, ballot)
             return
         self.promised = ballot
@@ -117,16 +127,16 @@
             ballot,
             self.node,
             self.incarnation,
-            self._newest(),
+            self._last_stamp(),
             accepted,
             self.accepted_view if accepted != NO_BALLOT else None,
         )
         self.outbox.persist(self.vote(), then=lambda: self.outbox.send(sender, promise))
 
     def on_accept(self, sender: str, message: Accept) -> None:
-        """Accept a view, unless a later ballot was promised."""
+        """Accept a view, unless a higher ballot was promised. The answer is sent once the vote is synced."""
         ballot = Ballot(*message.ballot)
-        if not self._may_answer(ballot) or ballot < self.promised:
+        if not self._may_vote_on(ballot) or ballot < self.promised:
             self._reject(sender, ballot)
             return
         self.promised = self.accepted_ballot = ballot
@@ -134,8 +144,8 @@
         answer = Accepted(ballot, self.node)
         self.outbox.persist(self.vote(), then=lambda: self.outbox.send(sender, answer))
 
-    def _may_answer(self, ballot: Ballot) -> bool:
-        return self.votes and self.view is not None and ballot.epoch == self.view.epoch + 1
+    def _may_vote_on(self, ballot: Ballot) -> bool:
+        return self.is_voter and self.view is not None and ballot.epoch == self.view.epoch + 1
 
     def _reject(self, sender: str, ballot: Ballot) -> None:
         if self.view is not None:
@@ -143,21 +153,21 @@
 
     # proposer
 
-    def propose(self, plan: Plan, now: float, gather_s: float = GATHER_S) -> None:
-        """Begin to bring a view about, unless an attempt is under way."""
-        if self.view is None or self.proposal is not None or now < self._not_before:
+    def propose(self, plan: Plan, now: float, promise_wait_s: float = PROMISE_WAIT_S) -> None:
+        """Start a proposal, unless one is under way or the pause after the last one is not over."""
+        if self.view is None or self.proposal is not None or now < self._next_proposal_at:
             return
         epoch = self.view.epoch + 1
-        seen = self.promised.round if self.promised.epoch == epoch else 0
-        self._round = max(self._round, seen) + 1
+        promised_round = self.promised.round if self.promised.epoch == epoch else 0
+        self._round = max(self._round, promised_round) + 1
         ballot = Ballot(epoch, self._round, f"{self.node}#{self.incarnation:x}")
-        self.proposal = Proposal(ballot, plan, now, now, gather_s)
-        self._ask(self.proposal, now)
+        self.proposal = Proposal(ballot, plan, now, now, promise_wait_s)
+        self._send_requests(self.proposal, now)
 
-    def _ask(self, proposal: Proposal, now: float) -> None:
-        """Send the proposal's present step to all that have not answered it."""
+    def _send_requests(self, proposal: Proposal, now: float) -> None:
+        """Send the request of the current phase to all voters that have not answered it."""
         assert self.view is not None
-        proposal.resend_at = now + RESEND_S
+        proposal.resend_at = now + RESEND_AFTER_S
         for node in self.view.voters:
             if proposal.view is None and node not in proposal.promises:
                 self.outbox.send(address_of(node), Prepare(proposal.ballot, self.view))
@@ -165,7 +175,7 @@
                 self.outbox.send(address_of(node), Accept(proposal.ballot, proposal.view))
 
     def on_promise(self, message: Promise, now: float) -> None:
-        """Count a promise; the view is proposed once enough have come."""
+        """Count a promise. The view is proposed once a quorum has promised."""
         proposal = self.proposal
         if proposal is None or proposal.ballot != Ballot(*message.ballot) or proposal.view is not None:
             return
@@ -176,18 +186,22 @@
         assert self.view is not None
         if not self.view.is_quorum(proposal.promises):
             return
-        wanted = {member.node for member in proposal.plan.chain if member.node in self.view.voters}
-        if not wanted <= set(proposal.promises) and now - proposal.begun < proposal.gather_s:
+        awaited = {member.node for member in proposal.plan.chain if member.node in self.view.voters}
+        if not awaited <= set(proposal.promises) and now - proposal.started_at < proposal.promise_wait_s:
             return
-        view = self._choose(proposal)
+        view = self._choose_view(proposal)
         if view is None:
-            self._give_up(now)
+            self._abandon_proposal(now)
             return
         proposal.view = view
-        self._ask(proposal, now)
+        self._send_requests(proposal, now)
+
+    def _choose_view(self, proposal: Proposal) -> View | None:
+        """Return the view to propose: the one accepted under the highest ballot, otherwise the planned one.
 
-    def _choose(self, proposal: Proposal) -> View | None:
-        """A view that may have been agreed on already, or the one that we want."""
+        A view that was accepted anywhere may already be decided. Returns None if the planned chain has no
+        quorum.
+        """
         accepted = [p for p in proposal.promises.values() if p.accepted_view is not None]
         if accepted:
             return max(accepted, key=lambda p: Ballot(*p.accepted_ballot)).accepted_view
@@ -202,13 +216,13 @@
         view = View(
             proposal.ballot.epoch,
             proposal.plan.members,
-            proposal.plan.previous,
-            first_by_stamp(chain, stamps),
+            proposal.plan.previous_members,
+            put_newest_log_first(chain, stamps),
         )
         return view if view.is_quorum(view.chain_nodes) else None
 
     def on_accepted(self, message: Accepted) -> None:
-        """Count an acceptance; by a majority the view is decided."""
+        """Count an acceptance. The view is decided once a quorum has accepted it."""
         proposal = self.proposal
         if proposal is None or proposal.view is None or proposal.ballot != Ballot(*message.ballot):
             return
@@ -216,25 +230,25 @@
         assert self.view is not None
         if self.view.is_quorum(proposal.accepted):
             view, voters = proposal.view, self.view.voters
-            self.learn(view)
+            self.adopt(view)
             for node in dict.fromkeys([*view.voters, *voters]):
                 self.outbox.send(address_of(node), ViewNotice(view))
 
     def on_reject(self, message: Reject, now: float) -> None:
-        """Somebody is further on: learn from it."""
+        """Adopt a newer view of the sender; abandon the proposal if the sender promised a higher ballot."""
         promised = Ballot(*message.promised)
-        self.learn(message.view)
+        self.adopt(message.view)
         proposal = self.proposal
         if proposal is not None and proposal.ballot == Ballot(*message.ballot) and promised > proposal.ballot:
             self._round = max(self._round, promised.round)
-            self._give_up(now)
+            self._abandon_proposal(now)
 
-    def _give_up(self, now: float) -> None:
+    def _abandon_proposal(self, now: float) -> None:
         self.proposal = None
-        self._not_before = now + self._random.uniform(0.05, PAUSE_S)
+        self._next_proposal_at = now + self._random.uniform(0.05, MAX_BACKOFF_S)
 
     def tick(self, now: float) -> None:
-        """Go on with what the promises at hand allow, and drop a proposal that leads nowhere."""
+        """Advance the proposal: propose its view if possible, resend requests, abandon it on a timeout."""
         if self.proposal is None:
             return
         if self.proposal.view is None:
@@ -242,7 +256,7 @@
         proposal = self.proposal
         if proposal is None:
             return
-        if now - proposal.begun > GIVE_UP_S:
-            self._give_up(now)
+        if now - proposal.started_at > PROPOSAL_TIMEOUT_S:
+            self._abandon_proposal(now)
         elif now >= proposal.resend_at:
-            self._ask(proposal, now)
+            self._send_requests(proposal, now)
--- a/pebbledrift/chain/planning.py
+++ b/pebbledrift/chain/planning.py
@@ -1,187 +1,199 @@
-"""Which view the coordinator wants next, from the view in force and who is alive."""
+"""Computes the next view to propose from the view in force and from which replicas are alive."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from pebbledrift.chain.messages import Stamp
-from pebbledrift.chain.peers import ALIVE_S, Peer, PeerTable
+from pebbledrift.chain.peers import ALIVE_TIMEOUT_S, Peer, PeerTable
 from pebbledrift.chain.view import ChainMember, View, address_of
 from spoolpier.records import record
 
-# a new replica takes the place of a member that is silent for this share of the time to catch up
-REPLACE_SHARE, REPLACE_MOST_S = 0.25, 2.0
-MEMBERS_MOST = 9
-SETTLE_S = 0.3  # a replica that came back has to be heard for so long before the chain is changed for it
+# A new replica replaces a member that has been silent for this fraction of the catch-up time, at most 2 s.
+REPLACE_FRACTION, MAX_REPLACE_S = 0.25, 2.0
+MAX_MEMBERS = 9
+JOIN_SETTLE_S = 0.3  # a returning replica has to be alive for this long before the chain changes for it
 
 
 @record
-class Patience:
-    """For how long a member may be silent."""
+class SilenceLimits:
+    """For how many seconds a member may be silent before the members change."""
 
-    replace_s: float  # before a new replica that waits takes its place
-    shrink_s: float  # before it goes where more members are left than are needed
+    replace_s: float  # before a waiting new replica replaces it
+    shrink_s: float  # before it is removed, if there are more members than needed
 
     @classmethod
-    def within(cls, catch_up_s: float) -> Patience:
-        """A change of members has to be over when the next loss may come, `catch_up_s` after the last one."""
-        return cls(min(REPLACE_MOST_S, max(ALIVE_S, REPLACE_SHARE * catch_up_s)), catch_up_s)
+    def for_catch_up_time(cls, catch_up_s: float) -> SilenceLimits:
+        """Derive the limits from `catch_up_s`, the least time between two losses.
+
+        A change of members has to be complete before the next loss.
+        """
+        return cls(min(MAX_REPLACE_S, max(ALIVE_TIMEOUT_S, REPLACE_FRACTION * catch_up_s)), catch_up_s)
 
 
 @record
 class Plan:
-    """What the next view should be."""
+    """The members and the chain that the next view should have."""
 
     members: tuple[str, ...]
-    previous: tuple[str, ...]
+    previous_members: tuple[str, ...]
     chain: tuple[ChainMember, ...]
 
 
 @record
-class Situation:
-    """What a plan is made from."""
+class ClusterStatus:
+    """What the coordinator knows of the cluster when it plans the next view."""
 
     view: View
-    established: bool  # the whole chain has all that was agreed before
-    peers: PeerTable  # we are in it ourselves
+    established: bool  # the whole chain holds all entries that were committed in earlier views
+    peers: PeerTable  # includes this replica
     now: float
-    since: float  # when we began to listen
-    tolerated: int
-    patience: Patience
-    caught_up: Callable[[Peer], bool]  # whether a replica lacks so little that the chain need not wait for it
+    listening_since: float  # when this process began to receive heartbeats
+    tolerated_failures: int
+    silence_limits: SilenceLimits
+    caught_up: Callable[[Peer], bool]  # whether a replica lacks so few entries that the chain need not wait
 
 
-def coordinator(situation: Situation) -> str | None:
-    """The first live member in the agreed order: it acts for all."""
-    for node in situation.view.members:
-        if situation.peers.alive(node, situation.now):
+def coordinating_node(status: ClusterStatus) -> str | None:
+    """Return the coordinator: the first live member in the order of the view, or None."""
+    for node in status.view.members:
+        if status.peers.live_peer(node, status.now):
             return node
     return None
 
 
-def _departed(situation: Situation, node: str, after: float) -> bool:
-    peer = situation.peers.alive(node, situation.now)
+def _is_gone(status: ClusterStatus, node: str, silence_limit_s: float) -> bool:
+    """Whether a replica is leaving, or has been silent for longer than the limit."""
+    peer = status.peers.live_peer(node, status.now)
     if peer is not None:
         return peer.heartbeat.leaving
-    return situation.peers.silent_for(node, situation.now, situation.since) > after
+    return status.peers.silence_s(node, status.now, status.listening_since) > silence_limit_s
 
 
-def _joiners(situation: Situation) -> list[str]:
-    """Replicas that wait for a place, longest heard first."""
-    found = [
+def _joining_replicas(status: ClusterStatus) -> list[str]:
+    """Healthy replicas that are eligible and not yet members, the longest alive first."""
+    candidates = [
         peer
-        for peer in situation.peers.living(situation.now)
+        for peer in status.peers.live_peers(status.now)
         if peer.heartbeat.eligible
         and peer.heartbeat.healthy
         and not peer.heartbeat.leaving
-        and peer.heartbeat.node not in situation.view.members
-        and situation.now - peer.alive_since >= SETTLE_S
+        and peer.heartbeat.node not in status.view.members
+        and status.now - peer.alive_since >= JOIN_SETTLE_S
+    ]
+    return [
+        peer.heartbeat.node for peer in sorted(candidates, key=lambda p: (p.alive_since, p.heartbeat.node))
     ]
-    return [peer.heartbeat.node for peer in sorted(found, key=lambda p: (p.alive_since, p.heartbeat.node))]
 
 
-def _zone(situation: Situation, node: str) -> str:
-    peer = situation.peers.peers.get(node)
+def _zone(status: ClusterStatus, node: str) -> str:
+    peer = status.peers.peers.get(node)
     return peer.heartbeat.zone if peer is not None else ""
 
 
-def _replaced_by(situation: Situation, joiner: str) -> str | None:
-    """The member whose place a new replica takes; none where it comes on top."""
-    members = situation.view.members
+def _member_replaced_by(status: ClusterStatus, joiner: str) -> str | None:
+    """Return the member that a new replica replaces, or None if it can only be added.
+
+    A member at the same address comes first, then a silent one in the zone of the new replica, then any
+    silent one.
+    """
+    members = status.view.members
     for node in members:
         if address_of(node) == address_of(joiner):
             return node
-    silent = [node for node in members if _departed(situation, node, situation.patience.replace_s)]
-    zone = _zone(situation, joiner)
-    return min(silent, key=lambda node: _zone(situation, str(node)) != zone, default=None)
+    silent = [node for node in members if _is_gone(status, node, status.silence_limits.replace_s)]
+    zone = _zone(status, joiner)
+    return min(silent, key=lambda node: _zone(status, str(node)) != zone, default=None)
 
 
-def _may_grow(situation: Situation, joiner: str) -> bool:
-    """Whether a new replica may come on top: all members live, and it has nearly all.
+def _may_add_member(status: ClusterStatus, joiner: str) -> bool:
+    """Whether a new replica may become an additional member: all members are alive, and it has caught up.
 
-    It waits until a member would have been missed that ended just before it began: it may be its successor.
+    It waits until a member that died just before the replica started would have been noticed: the replica may
+    have been started to replace it.
     """
-    members, peer = situation.view.members, situation.peers.peers[joiner]
-    if len(members) >= MEMBERS_MOST or any(_departed(situation, node, 0.0) for node in members):
+    members, peer = status.view.members, status.peers.peers[joiner]
+    if len(members) >= MAX_MEMBERS or any(_is_gone(status, node, 0.0) for node in members):
         return False
-    return situation.now - peer.alive_since >= ALIVE_S + SETTLE_S and situation.caught_up(peer)
+    return status.now - peer.alive_since >= ALIVE_TIMEOUT_S + JOIN_SETTLE_S and status.caught_up(peer)
 
 
-def _next_members(situation: Situation) -> tuple[str, ...]:
-    """The members as they should be: one change at a time, and none before the last one is complete.
+def _next_members(status: ClusterStatus) -> tuple[str, ...]:
+    """Return the members of the next view: one change at a time, and none before the last one is complete.
 
-    Nobody comes on top while a member is silent: the majority would grow by one that may be gone for good.
-    Whoever takes a silent member's place need not have caught up: its vote counts, and the chain goes on
-    without it until it has.
+    No member is added while another one is silent: a majority would then need more votes, and the silent
+    member may be gone for good. A replica that replaces a silent member need not have caught up: its vote
+    counts at once, and the chain runs without it until it has.
     """
-    members = situation.view.members
-    if situation.view.previous or not situation.established:
+    members = status.view.members
+    if status.view.previous_members or not status.established:
         return members
-    for joiner in _joiners(situation):
-        replaced = _replaced_by(situation, joiner)
+    for joiner in _joining_replicas(status):
+        replaced = _member_replaced_by(status, joiner)
         if replaced is not None:
             return tuple(joiner if node == replaced else node for node in members)
-        if _may_grow(situation, joiner):
+        if _may_add_member(status, joiner):
             return (*members, joiner)
-    if len(members) > 2 * situation.tolerated + 1:
+    if len(members) > 2 * status.tolerated_failures + 1:
         for node in members:
-            if _departed(situation, node, situation.patience.shrink_s):
+            if _is_gone(status, node, status.silence_limits.shrink_s):
                 return tuple(member for member in members if member != node)
     return members
 
 
-def _chain(
-    situation: Situation, members: tuple[str, ...], previous: tuple[str, ...]
+def _plan_chain(
+    status: ClusterStatus, members: tuple[str, ...], previous_members: tuple[str, ...]
 ) -> tuple[ChainMember, ...]:
-    """Voters that can take part, in the order of the present chain, others behind them.
+    """Return the voters that can take part: first those of the current chain in its order, then the others.
 
-    Those that lack much only where there is no majority without them.
+    Voters outside the chain that have not caught up are included only if there is no quorum without them.
     """
-    present = situation.view.chain_nodes
-    voters = dict.fromkeys([*members, *previous])
-    ranked = sorted(voters, key=lambda node: present.index(node) if node in present else len(present))
-    found, lagging = [], set()
+    current = status.view.chain_nodes
+    voters = dict.fromkeys([*members, *previous_members])
+    ranked = sorted(voters, key=lambda node: current.index(node) if node in current else len(current))
+    available, lagging = [], set()
     for node in ranked:
-        peer = situation.peers.alive(node, situation.now)
+        peer = status.peers.live_peer(node, status.now)
         if peer is None or not peer.heartbeat.healthy or peer.heartbeat.leaving:
             continue
-        settled = situation.now - peer.alive_since >= SETTLE_S
-        if node in present or settled or not present:
-            found.append(ChainMember(node, peer.heartbeat.incarnation))
-            if node not in present and not situation.caught_up(peer):
+        settled = status.now - peer.alive_since >= JOIN_SETTLE_S
+        if node in current or settled or not current:
+            available.append(ChainMember(node, peer.heartbeat.incarnation))
+            if node not in current and not status.caught_up(peer):
                 lagging.add(node)
-    ready = tuple(member for member in found if member.node not in lagging)
-    sufficient = View(0, members, previous, ready).is_quorum([member.node for member in ready])
-    return ready if sufficient else tuple(found)
+    ready = tuple(member for member in available if member.node not in lagging)
+    sufficient = View(0, members, previous_members, ready).is_quorum([member.node for member in ready])
+    return ready if sufficient else tuple(available)
 
 
-def plan(situation: Situation) -> Plan | None:
-    """The view that is wanted, or None where the present one will do or none can be agreed on."""
-    view = situation.view
-    members = _next_members(situation)
-    previous: tuple[str, ...] = ()
+def plan(status: ClusterStatus) -> Plan | None:
+    """Return the next view to propose, or None if the current one needs no change or there is no quorum."""
+    view = status.view
+    members = _next_members(status)
+    previous_members: tuple[str, ...] = ()
     if members != view.members:
-        previous = view.members
-    elif view.previous and not situation.established:
-        previous = view.previous
-    chain = _chain(situation, members, previous)
-    wanted = View(view.epoch + 1, members, previous, chain)
-    if not wanted.is_quorum(wanted.chain_nodes):
+        previous_members = view.members
+    elif view.previous_members and not status.established:
+        previous_members = view.previous_members
+    chain = _plan_chain(status, members, previous_members)
+    next_view = View(view.epoch + 1, members, previous_members, chain)
+    if not next_view.is_quorum(next_view.chain_nodes):
         return None
-    same = (wanted.members, wanted.previous, set(wanted.chain)) == (
+    same = (next_view.members, next_view.previous_members, set(next_view.chain)) == (
         view.members,
-        view.previous,
+        view.previous_members,
         set(view.chain),
     )
-    return None if same else Plan(members, previous, chain)
+    return None if same else Plan(members, previous_members, chain)
 
 
-def first_by_stamp(
+def put_newest_log_first(
     chain: tuple[ChainMember, ...], stamps: dict[str, tuple[Stamp, int]]
 ) -> tuple[ChainMember, ...]:
-    """The chain with the replica in front that has the newest log of all that promised.
+    """Move the replica with the newest log among those that promised to the head of the chain.
 
-    It is the head even where it was not wanted: nobody else is sure to have all that was acknowledged.
+    It becomes the head even if the plan left it out: only the newest log is certain to hold every
+    acknowledged order. `stamps` gives the last stamp and the incarnation of each replica that promised.
     """
     newest = max(stamp for stamp, _ in stamps.values())
     holders = [member for member in chain if member.node in stamps and stamps[member.node][0] == newest]
--- a/pebbledrift/chain/recovery.py
+++ b/pebbledrift/chain/recovery.py
@@ -1,4 +1,4 @@
-"""What a replica knows again after a restart, from the image in a slot and the records behind it."""
+"""Restores the state of a replica from the image in a slot and the records written after it."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
     Truncate,
     Vote,
 )
-from pebbledrift.chain.replica import Stored
+from pebbledrift.chain.replica import StoredState
 from pebbledrift.chain.view import View
 
 
 @dataclass(slots=True)
-class Recovered:
-    """The replica whose disk it is, and what it had promised and taken."""
+class RecoveredState:
+    """The name of the replica that owns the disk, with its view, vote and log."""
 
-    node: str | None = None
-    stored: Stored = field(default_factory=Stored)
+    node: str | None = None  # None: the disk names no replica
+    stored: StoredState = field(default_factory=StoredState)
 
 
-def recover(image: Image | None, records: Iterable[Record]) -> Recovered:
-    """Replay a disk."""
-    found = Recovered()
+def recover(image: Image | None, records: Iterable[Record]) -> RecoveredState:
+    """Rebuild the state from the image, if there is one, and from the records that follow it, in order."""
+    recovered = RecoveredState()
     if image is not None:
-        found.node = image.node
-        found.stored = Stored(image.view, image.vote, image.snapshot, list(image.entries))
+        recovered.node = image.node
+        recovered.stored = StoredState(image.view, image.vote, image.snapshot, list(image.entries))
     for record in records:
-        _replay(found, record)
-    return found
+        _apply_record(recovered, record)
+    return recovered
 
 
-def _replay(found: Recovered, record: Record) -> None:
-    stored = found.stored
+def _apply_record(recovered: RecoveredState, record: Record) -> None:
+    stored = recovered.stored
     if isinstance(record, Identity):
-        found.node = record.node
+        recovered.node = record.node
     elif isinstance(record, View):
         stored.view = record
     elif isinstance(record, Vote):
--- a/pebbledrift/chain/requests.py
+++ b/pebbledrift/chain/requests.py
@@ -1,4 +1,4 @@
-"""Calls of the operator at one keeper: handed to the head, sent again until there is an answer."""
+"""Operator calls: each keeper submits its calls to the head, and sends them again until they are answered."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from pebbledrift.chain.view import address_of
 from pebbledrift.control.orders import Check, ConfigurationState, Judgement, Order, Verdict
 
-AGAIN_S = 0.4  # a call without an answer is handed to the head again
-PENDING_MOST = 256
-REFUSED_MOST = 4096  # refused calls of an epoch that are remembered at its head
-Done = Callable[[Judgement | None], None]
+RESEND_AFTER_S = 0.4  # a call without an answer is submitted to the head again
+MAX_PENDING_CALLS = 256
+MAX_REFUSED_CALLS = 4096  # refused calls that the head of an epoch remembers
+JudgementCallback = Callable[[Judgement | None], None]
 
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call that waits for its answer."""
+    """A call that has not been answered yet. Times are seconds of the local clock."""
 
     id: CallId
     order: Order | None  # None: a read
-    done: Done
+    on_done: JudgementCallback
     deadline: float
     send_at: float
-    epoch: int = 0  # the newest one whose head it was handed to
-    read_at: int | None = None  # the sequence that our own state has to reach
+    epoch: int = 0  # the epoch to whose head it was last submitted
+    read_sequence: int | None = None  # a read is done once this sequence is committed locally
 
 
-def _under_way_s(call: PendingCall) -> float:
-    """For how long a call may be on its way to the head."""
+def _transfer_s(call: PendingCall) -> float:
+    """Return how many seconds a call may take to reach the head over the slowest link."""
     return len(call.order.body) / SLOWEST_LINK if call.order is not None else 0.0
 
 
-class RequestDesk:
-    """The calls made at this keeper, and the judging of all calls where this keeper is the head."""
+class RequestHandler:
+    """Tracks the calls made at this keeper, and judges those of all keepers while this one is the head."""
 
     def __init__(
         self, agreement: Agreement, link: ChainLink, log: ReplicatedLog, outbox: Outbox, check: Check
@@ -47,37 +47,41 @@
         self._check = check
         self._pending: dict[CallId, PendingCall] = {}
         self._number = 0
-        self._state: ConfigurationState | None = None  # with all entries; at the head only
-        self._refused: dict[CallId, Judgement] = {}  # in this epoch, at the head
+        self._state: ConfigurationState | None = None  # includes uncommitted entries; at the head only
+        self._refused: dict[CallId, Judgement] = {}  # of the current epoch; at the head only
 
-    # where the call was made
+    # at the keeper where the call was made
 
-    def call(self, order: Order | None, now: float, longest: float, done: Done) -> None:
-        """Make a call. `done` gets the judgement, or None where there is no clear answer in time."""
-        if len(self._pending) >= PENDING_MOST:
-            done(None)
+    def call(self, order: Order | None, now: float, timeout_s: float, on_done: JudgementCallback) -> None:
+        """Make a call: an order, or a read if there is none.
+
+        `on_done` receives the judgement, or None if there is no clear answer in time or there are too many
+        pending calls.
+        """
+        if len(self._pending) >= MAX_PENDING_CALLS:
+            on_done(None)
             return
         self._number += 1
-        name = CallId(self.outbox.address, self.agreement.incarnation, self._number)
-        call = PendingCall(name, order, done, now + longest, now)
-        self._pending[name] = call
+        call_id = CallId(self.outbox.address, self.agreement.incarnation, self._number)
+        call = PendingCall(call_id, order, on_done, now + timeout_s, now)
+        self._pending[call_id] = call
         self._send(call, now)
 
     def _send(self, call: PendingCall, now: float) -> None:
         view = self.agreement.view
         if view is None or not view.chain:
             return
-        call.send_at = now + AGAIN_S + _under_way_s(call)
+        call.send_at = now + RESEND_AFTER_S + _transfer_s(call)
         call.epoch = view.epoch
         head = address_of(view.chain[0].node)
         self.outbox.send(head, Submit(call.id, view.epoch, call.order))
 
     def _finish(self, call: PendingCall, judgement: Judgement | None) -> None:
         if self._pending.pop(call.id, None) is not None:
-            call.done(judgement)
+            call.on_done(judgement)
 
     def tick(self, now: float) -> None:
-        """Send again what has no answer, and give up what has had its time."""
+        """Send calls without an answer again, and finish those whose deadline has passed."""
         for call in list(self._pending.values()):
             if now >= call.deadline:
                 self._finish(call, None)
@@ -85,46 +89,46 @@
                 self._send(call, now)
 
     def on_answer(self, message: Answer) -> None:
-        """The tail has answered for a call of ours.
+        """Handle the answer of the tail to a call made here.
 
-        An answer of an epoch before the one that the call was last handed to does not end it: the later head
-        may have taken the order meanwhile.
+        An answer from an earlier epoch than the one that the call was last submitted in does not finish it:
+        the later head may have accepted the order in the meantime.
         """
         call = self._pending.get(message.call)
         if call is None:
             return
         if call.order is None:
-            call.read_at = message.committed[1]
+            call.read_sequence = message.committed[1]
             self.on_commit()
         elif message.judgement is not None and message.epoch == call.epoch:
             self._finish(call, message.judgement)
 
     def on_not_head(self, message: NotHead, now: float) -> None:
-        """Somebody else is the head."""
-        self.agreement.learn(message.view)
+        """Adopt the newer view, and submit the call to its head soon."""
+        self.agreement.adopt(message.view)
         call = self._pending.get(message.call)
         if call is not None:
-            call.send_at = min(call.send_at, now + AGAIN_S / 8 + _under_way_s(call))
+            call.send_at = min(call.send_at, now + RESEND_AFTER_S / 8 + _transfer_s(call))
 
     def on_commit(self) -> None:
-        """Our own state has moved on: calls that it answers are at their end."""
+        """Finish the calls that the newly committed entries answer."""
         for call in list(self._pending.values()):
             if (call.order is not None and call.order.digest in self.log.state.taken) or (
-                call.read_at is not None and self.log.committed.sequence >= call.read_at
+                call.read_sequence is not None and self.log.committed.sequence >= call.read_sequence
             ):
                 self._finish(call, Judgement(Verdict.TAKEN))
 
     # at the head
 
-    def enter(self) -> None:
-        """A new view is in force: what was judged in the one before counts only where it is in the log."""
+    def enter_view(self) -> None:
+        """Discard the judgements of the previous view, except what is in the log, and resend the calls."""
         self._state = None
         self._refused.clear()
         for call in self._pending.values():
             call.send_at = min(call.send_at, self.outbox.now)
 
     def on_submit(self, sender: str, message: Submit) -> None:
-        """Judge a call at the newest state, as the head of the epoch that it was handed to."""
+        """Judge a call against the newest state, if this replica is the head of the call's epoch."""
         if not self.link.is_head or message.epoch != self.link.epoch:
             if self.agreement.view is not None:
                 self.outbox.send(sender, NotHead(message.call, self.agreement.view))
@@ -145,16 +149,19 @@
         return self._state.apply(order)
 
     def _remember_refusal(self, call: CallId, judgement: Judgement) -> None:
-        """A copy of a refused call that comes late is refused again, whatever is in force by then."""
+        """Remember a refused call, so that a delayed copy of it is refused whatever the state is by then."""
         if judgement.verdict == Verdict.TAKEN_BEFORE:
             return
         self._refused[call] = judgement
-        while len(self._refused) > REFUSED_MOST:
+        while len(self._refused) > MAX_REFUSED_CALLS:
             del self._refused[next(iter(self._refused))]
 
     # at the tail
 
     def answer_barrier(self, barrier: Barrier) -> None:
-        """All before the barrier is committed, and the epoch it was judged in goes on."""
+        """Answer the call of a barrier that has reached the tail.
+
+        All entries before it are committed, and its epoch is still the current one.
+        """
         answer = Answer(barrier.call, barrier.epoch, barrier.judgement, self.log.committed)
         self.outbox.send(barrier.call.origin, answer)
--- a/pebbledrift/chain/storage.py
+++ b/pebbledrift/chain/storage.py
@@ -13,7 +13,7 @@
 from pebbledrift.chain import slots
 from pebbledrift.chain.files import SYSTEM_FILES, Files
 from pebbledrift.chain.messages import Image, Record
-from pebbledrift.chain.recovery import Recovered, recover
+from pebbledrift.chain.recovery import RecoveredState, recover
 from pebbledrift.cluster.errors import StorageError
 
 LOG_MOST = 512 * 1024  # bytes of a log beyond which a slot is written, at least
@@ -50,7 +50,7 @@
         except OSError as error:
             raise StorageError(f"{self.folder}: {error}") from error
 
-    def open(self) -> Recovered:
+    def open(self) -> RecoveredState:
         """Read what the disk holds, and make ready to write behind it."""
         try:
             self._files.make_folder(self.folder)
--- a/pebbledrift/chain/view.py
+++ b/pebbledrift/chain/view.py
@@ -1,4 +1,7 @@
-"""The agreed view: who may vote, who is in the chain and in which order; each view follows one before it."""
+"""Views: numbered configurations that list the voting members and the chain, from head to tail.
+
+Each view is agreed on by the voters of the view before it.
+"""
 
 from __future__ import annotations
 
@@ -6,22 +9,25 @@
 
 from pebbledrift.cluster.codec import message
 
-FOUNDER = "0"  # generation of the disks that a cluster is founded with
+FOUNDING_GENERATION = "0"  # disk generation of the members that bootstrap a cluster
 
 
 def node_name(address: str, generation: str) -> str:
-    """A replica: an address and the disk that it has there. A lost disk makes it another one."""
+    """Build the name of a replica from its address and the generation of its disk.
+
+    A replica that loses its disk comes back under another name, since it has lost its votes too.
+    """
     return f"{address}/{generation}"
 
 
 def address_of(node: str) -> str:
-    """The address of a replica."""
+    """Return the address part of a replica's name."""
     return node.rpartition("/")[0]
 
 
 @message(40)
 class ChainMember:
-    """A replica in the chain, and the start of its process that takes part."""
+    """A replica in the chain, and the incarnation of its process that takes part."""
 
     node: str
     incarnation: int
@@ -31,33 +37,36 @@
 class View:
     """An agreed configuration of the replicas.
 
-    While members are being replaced `previous` holds those before: a majority of both has to agree then.
+    While members are being replaced, `previous_members` holds the old set: a quorum then needs a majority of
+    both sets.
     """
 
     epoch: int
     members: tuple[str, ...]
-    previous: tuple[str, ...]
+    previous_members: tuple[str, ...]
     chain: tuple[ChainMember, ...]
 
     @property
     def voters(self) -> list[str]:
-        """All that are asked, in the agreed order."""
-        return list(dict.fromkeys([*self.members, *self.previous]))
+        """The replicas that vote on the next view: the members, then the previous ones."""
+        return list(dict.fromkeys([*self.members, *self.previous_members]))
 
     @property
     def chain_nodes(self) -> list[str]:
-        """The replicas of the chain, head first."""
+        """The names of the replicas in the chain, head first."""
         return [member.node for member in self.chain]
 
     def is_quorum(self, nodes: Collection[str]) -> bool:
-        """Whether these replicas are a majority of the members, and of those before where they change."""
-        return _majority(self.members, nodes) and (not self.previous or _majority(self.previous, nodes))
+        """Whether these replicas are a majority of the members, and of the previous ones if there are any."""
+        return _majority(self.members, nodes) and (
+            not self.previous_members or _majority(self.previous_members, nodes)
+        )
 
     def position(self, node: str, incarnation: int) -> int | None:
-        """The place of a process in the chain."""
-        for number, member in enumerate(self.chain):
+        """Return the index of a process in the chain, 0 for the head, or None if it is not in the chain."""
+        for index, member in enumerate(self.chain):
             if member.node == node and member.incarnation == incarnation:
-                return number
+                return index
         return None
 
 
@@ -66,6 +75,6 @@
 
 
 def founding_view(addresses: Iterable[str]) -> View:
-    """The first view, the same at every founder; it has no chain yet."""
-    members = tuple(sorted(node_name(address, FOUNDER) for address in addresses))
+    """Return the first view, with epoch 1 and no chain yet. Every founding member computes the same one."""
+    members = tuple(sorted(node_name(address, FOUNDING_GENERATION) for address in addresses))
     return View(1, members, (), ())
--- a/pebbledrift/keeper/service.py
+++ b/pebbledrift/keeper/service.py
@@ -230,7 +230,7 @@
     def _state(self, now: float) -> KeeperState:
         view = self.replica.agreement.view
         chain = view.chain_nodes if view is not None else []
-        keepers = {address_of(p.heartbeat.node): p.heartbeat.zone for p in self.replica.peers.living(now)}
+        keepers = {address_of(p.heartbeat.node): p.heartbeat.zone for p in self.replica.peers.live_peers(now)}
         keepers[self.address] = self.boot.zone
         return KeeperState(
             self.replica.link.epoch,
--- a/pebbledrift/keeper/startup.py
+++ b/pebbledrift/keeper/startup.py
@@ -9,10 +9,10 @@
 from typing import NamedTuple
 
 from pebbledrift.chain.messages import Identity, Record
-from pebbledrift.chain.recovery import Recovered
+from pebbledrift.chain.recovery import RecoveredState
 from pebbledrift.chain.replica import Replica, ReplicaSettings
 from pebbledrift.chain.storage import Storage
-from pebbledrift.chain.view import FOUNDER, founding_view, node_name
+from pebbledrift.chain.view import FOUNDING_GENERATION, founding_view, node_name
 from pebbledrift.cluster.boot import BootSettings, format_address
 from pebbledrift.cluster.errors import StorageError
 
@@ -40,14 +40,14 @@
     """A keeper's disk as its process finds it."""
 
     storage: Storage | None
-    recovered: Recovered
+    recovered: RecoveredState
     was_empty: bool  # nothing was ever written there; what cannot be read counts as lost instead
 
 
 def open_storage(data_dir: Path | None) -> OpenedDisk:
     """The disk and what is on it; nothing where there is no disk."""
     if data_dir is None:
-        return OpenedDisk(None, Recovered(), False)
+        return OpenedDisk(None, RecoveredState(), False)
     return open_disk(Storage(data_dir / "keeper"))
 
 
@@ -75,13 +75,13 @@
     identity = take_identity(disk, address, founders(boot) if boot.bootstrap else [], secrets.token_hex(6))
     settings = ReplicaSettings(
         address=address,
-        control=format_address(boot.address_of("control")),
+        control_address=format_address(boot.address_of("control")),
         zone=boot.zone,
         node=identity.node,
         incarnation=incarnation,
         eligible=boot.data_dir is not None and boot.counts_for_quorum,
-        tolerated=boot.tolerated_machines,
-        contacts=tuple(founders(boot)),
+        tolerated_failures=boot.tolerated_machines,
+        contact_addresses=tuple(founders(boot)),
         seed=incarnation,
         catch_up_s=boot.bounds.catch_up_s,
     )
@@ -104,7 +104,7 @@
     if recovered.node is not None:
         return TakenIdentity(recovered.node, ())
     founds = disk.was_empty and address in founding
-    recovered.node = node_name(address, FOUNDER if founds else generation)
+    recovered.node = node_name(address, FOUNDING_GENERATION if founds else generation)
     if not founds:
         return TakenIdentity(recovered.node, (Identity(recovered.node),))
     view = recovered.stored.view = founding_view(founding)
--- a/tests/cluster/agreement_model.py
+++ b/tests/cluster/agreement_model.py
@@ -167,7 +167,7 @@
             agreement.proposal = Proposal(
                 state.proposal.ballot,
                 plan,
-                begun=0.0,
+                started_at=0.0,
                 resend_at=float("inf"),
                 promises=promises,
                 view=state.proposal.view,
@@ -244,7 +244,7 @@
         elif isinstance(sent, Accept):
             agreement.on_accept(_proposer(sent.ballot), sent)
         elif isinstance(sent, ViewNotice) and sent.view.epoch < self.setup.epochs:
-            agreement.learn(sent.view)
+            agreement.adopt(sent.view)
         result = self._deliveries[replica, message] = tuple(self._end(state, agreement, state.proposals))
         return result
 
--- a/tests/cluster/explorer.py
+++ b/tests/cluster/explorer.py
@@ -21,7 +21,7 @@
 from pebbledrift.chain.outbox import Write
 from pebbledrift.chain.recovery import recover
 from pebbledrift.chain.replica import Replica, ReplicaSettings
-from pebbledrift.chain.view import FOUNDER, founding_view, node_name
+from pebbledrift.chain.view import FOUNDING_GENERATION, founding_view, node_name
 from pebbledrift.cluster import codec
 from pebbledrift.control.orders import Judgement, Order, Verdict
 from tests.cluster.simulation import TAKEN, change, check
@@ -71,7 +71,7 @@
         self._incarnation += 1
         recovered = recover(None, self.records[address])
         if recovered.node is None:
-            recovered.node = node_name(address, FOUNDER if founds else f"g{self._incarnation}")
+            recovered.node = node_name(address, FOUNDING_GENERATION if founds else f"g{self._incarnation}")
             self.records[address].append(Identity(recovered.node))
             if founds:
                 recovered.stored.view = founding_view(ADDRESSES)
--- a/tests/cluster/mutations.py
+++ b/tests/cluster/mutations.py
@@ -37,8 +37,8 @@
     Mutation(
         "contact rests on answers, not on arrivals",
         "pebbledrift/chain/replica.py",
-        "self.peers.answered_since(now - CONTACT_S)",
-        "self.peers.living(now)",
+        "self.peers.answered_since(now - CONTACT_TIMEOUT_S)",
+        "self.peers.live_peers(now)",
         WORST,
         "stood_still",
     ),
@@ -53,7 +53,7 @@
     Mutation(
         "who holds entries that are not committed tells nothing",
         "pebbledrift/chain/replica.py",
-        "return self._pending.age(now) <= PENDING_S",
+        "return self._pending.age(now) <= MAX_UNCOMMITTED_S",
         "return True",
         WORST,
         "loss_of_all_power",
@@ -110,16 +110,16 @@
     Mutation(
         "a newcomer takes the place of a silent member",
         "pebbledrift/chain/planning.py",
-        "if len(members) >= MEMBERS_MOST or any(_departed(situation, node, 0.0) for node in members):",
-        "if len(members) >= MEMBERS_MOST:",
+        "if len(members) >= MAX_MEMBERS or any(_is_gone(status, node, 0.0) for node in members):",
+        "if len(members) >= MAX_MEMBERS:",
         WORST,
         "newcomer",
     ),
     Mutation(
         "a newcomer waits until the dead is missed",
         "pebbledrift/chain/planning.py",
-        "return situation.now - peer.alive_since >= ALIVE_S + SETTLE_S and situation.caught_up(peer)",
-        "return situation.caught_up(peer)",
+        "return status.now - peer.alive_since >= ALIVE_TIMEOUT_S + JOIN_SETTLE_S and status.caught_up(peer)",
+        "return status.caught_up(peer)",
         WORST,
         "is_missed",
     ),
@@ -134,7 +134,7 @@
     Mutation(
         "times of repair come from the settings",
         "pebbledrift/chain/planning.py",
-        "return cls(min(REPLACE_MOST_S, max(ALIVE_S, REPLACE_SHARE * catch_up_s)), catch_up_s)",
+        "return cls(min(MAX_REPLACE_S, max(ALIVE_TIMEOUT_S, REPLACE_FRACTION * catch_up_s)), catch_up_s)",
         "return cls(3.0, 4.0)",
         WORST,
         "newcomer",
@@ -142,7 +142,8 @@
     Mutation(
         "a change of members needs the majority of both",
         "pebbledrift/chain/view.py",
-        "return _majority(self.members, nodes) and (not self.previous or _majority(self.previous, nodes))",
+        "return _majority(self.members, nodes) and (\n"
+        "            not self.previous_members or _majority(self.previous_members, nodes)\n        )",
         "return _majority(self.members, nodes)",
         WORST,
         "both_sides",
@@ -186,10 +187,10 @@
     Mutation(
         "no lower ballot is accepted than was promised",
         "pebbledrift/chain/agreement.py",
-        "        if not self._may_answer(ballot) or ballot < self.promised:\n"
+        "        if not self._may_vote_on(ballot) or ballot < self.promised:\n"
         "            self._reject(sender, ballot)\n            return\n"
         "        self.promised = self.accepted_ballot",
-        "        if not self._may_answer(ballot):\n"
+        "        if not self._may_vote_on(ballot):\n"
         "            self._reject(sender, ballot)\n            return\n"
         "        self.promised = self.accepted_ballot",
         AGREEMENT,
@@ -197,10 +198,10 @@
     Mutation(
         "no lower ballot is promised than before",
         "pebbledrift/chain/agreement.py",
-        "        if not self._may_answer(ballot) or ballot < self.promised:\n"
+        "        if not self._may_vote_on(ballot) or ballot < self.promised:\n"
         "            self._reject(sender, ballot)\n            return\n"
         "        self.promised = ballot",
-        "        if not self._may_answer(ballot):\n"
+        "        if not self._may_vote_on(ballot):\n"
         "            self._reject(sender, ballot)\n            return\n"
         "        self.promised = ballot",
         AGREEMENT,
@@ -251,8 +252,10 @@
     Mutation(
         "who leaves waits until the others hold all",
         "pebbledrift/chain/replica.py",
-        "if node in view.chain_nodes or len(others) <= self.settings.tolerated:\n            return False",
-        "if node in view.chain_nodes or len(others) <= self.settings.tolerated:\n            return True",
+        "if node in view.chain_nodes or len(others) <= self.settings.tolerated_failures:\n"
+        "            return False",
+        "if node in view.chain_nodes or len(others) <= self.settings.tolerated_failures:\n"
+        "            return True",
         WORST,
         "leaves",
     ),
@@ -283,14 +286,14 @@
     Mutation(
         "a keeper that stood still tells routers nothing by old heartbeats",
         "pebbledrift/chain/replica.py",
-        "self.peers.answered_since(now - CONTACT_S)",
-        "self.peers.living(now)",
+        "self.peers.answered_since(now - CONTACT_TIMEOUT_S)",
+        "self.peers.live_peers(now)",
         "tests/cluster/test_relay_cut.py",
     ),
     Mutation(
         "a whole chain is let go on before it is made longer",
         "pebbledrift/chain/coordination.py",
-        "    return same and view.is_quorum(view.chain_nodes) and set(view.chain) < set(wanted.chain)",
+        "    return same and view.is_quorum(view.chain_nodes) and set(view.chain) < set(next_plan.chain)",
         "    return False",
         WORST,
         "slow_links_do",
--- a/tests/cluster/relay_replicas.py
+++ b/tests/cluster/relay_replicas.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from pebbledrift.chain.log import ReplicatedLog
-from pebbledrift.chain.replica import Replica, ReplicaSettings, Stored
-from pebbledrift.chain.view import FOUNDER, address_of, founding_view, node_name
+from pebbledrift.chain.replica import Replica, ReplicaSettings, StoredState
+from pebbledrift.chain.view import FOUNDING_GENERATION, address_of, founding_view, node_name
 from pebbledrift.control.orders import Judgement, Verdict
 from pebbledrift.overlay.messages import KeeperState
 from tests.cluster.relay_simulation import DELAY_S, Fabric, Keeper
@@ -25,21 +25,21 @@
             address,
             address,
             self.process.zone,
-            node_name(address, FOUNDER),
+            node_name(address, FOUNDING_GENERATION),
             life,
             True,
             1,
             tuple(self.fabric.seeds),
             life,
         )
-        stored = Stored(view=founding_view(self.fabric.seeds))
+        stored = StoredState(view=founding_view(self.fabric.seeds))
         self.replica = Replica(settings, check, stored, self.fabric.now)
         return self.replica.log
 
     def state(self) -> KeeperState:
         now, view = self.fabric.now, self.replica.agreement.view
         chain = view.chain_nodes if view is not None else []
-        living = {address_of(p.heartbeat.node): p.heartbeat.zone for p in self.replica.peers.living(now)}
+        living = {address_of(p.heartbeat.node): p.heartbeat.zone for p in self.replica.peers.live_peers(now)}
         living[self.process.address] = self.process.zone
         routers = len({connection.dialer for connection in self.links})
         return KeeperState(
--- a/tests/cluster/simulation.py
+++ b/tests/cluster/simulation.py
@@ -141,13 +141,15 @@
         identity = take_identity(opened, address, founding, f"g{self._incarnation}")
         settings = ReplicaSettings(
             address=address,
-            control=address,
+            control_address=address,
             zone=self.zone_of(address),
             node=identity.node,
             incarnation=self._incarnation,
             eligible=address not in self.diskless,
-            tolerated=self.tolerated,
-            contacts=self.seeds if founder else tuple(self.processes) or self.seeds,  # as the operator's list
+            tolerated_failures=self.tolerated,
+            contact_addresses=self.seeds
+            if founder
+            else tuple(self.processes) or self.seeds,  # as the operator's list
             seed=self._incarnation,
             catch_up_s=self.catch_up_s,
         )
@@ -163,9 +165,9 @@
 
     def _open(self, address: str) -> OpenedDisk:
         if address in self.diskless:
-            from pebbledrift.chain.recovery import Recovered
+            from pebbledrift.chain.recovery import RecoveredState
 
-            return OpenedDisk(None, Recovered(), False)
+            return OpenedDisk(None, RecoveredState(), False)
         disk = self.disks.get(address)
         if disk is None:
             disk = self.disks[address] = Disk(SimulatedFiles(self.random.randrange(2**32)))
--- a/tests/cluster/test_chain.py
+++ b/tests/cluster/test_chain.py
@@ -51,7 +51,7 @@
     cluster.run(4.0)
     cluster.check_kept(lost)
     view = cluster.replicas[lost].agreement.view
-    assert view is not None and len(view.members) == 3 and len(view.chain) == 3 and not view.previous
+    assert view is not None and len(view.members) == 3 and len(view.chain) == 3 and not view.previous_members
 
 
 def test_a_replaced_member_leaves_the_view() -> None:
--- a/tests/cluster/test_relay_cut.py
+++ b/tests/cluster/test_relay_cut.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pebbledrift.chain.peers import CONTACT_S
+from pebbledrift.chain.peers import CONTACT_TIMEOUT_S
 from tests.cluster.relay_replicas import ReplicaKeeper, fleet
 from tests.cluster.relay_simulation import Fabric
 
@@ -71,7 +71,7 @@
     lost = keeper(fabric, 0)
     assert lost.replica.current(fabric.now)
     fabric.cut_off([fabric.seeds[0]], fabric.seeds[1:])
-    fabric.run(CONTACT_S + 0.05)
+    fabric.run(CONTACT_TIMEOUT_S + 0.05)
     assert not lost.replica.current(fabric.now)
     assert all(heard.state.current is False or heard.origin != fabric.seeds[0] for heard in told(fabric))
 
--- a/tests/cluster/test_slow_links.py
+++ b/tests/cluster/test_slow_links.py
@@ -40,7 +40,7 @@
     def watch(process: Process) -> None:
         peer = process.replica.peers.peers.get(cluster.replicas["c:1"].settings.node)
         if process.address == "a:1" and peer is not None:
-            silent.append(cluster.now - peer.heard)
+            silent.append(cluster.now - peer.last_received_at)
 
     cluster.on_tick = watch
     cluster.run(6.0)
@@ -48,7 +48,7 @@
     assert max(silent) < 0.5, f"{max(silent):.2f} s without a heartbeat"
     assert sum(sent) < 750_000, f"{sum(sent)} bytes for a state of about 600,000"
     view = cluster.replicas["a:1"].agreement.view
-    assert view is not None and len(view.chain) == 3 and not view.previous
+    assert view is not None and len(view.chain) == 3 and not view.previous_members
 
 
 def test_heartbeats_pass_a_large_change_on_a_slow_link() -> None:
@@ -59,7 +59,7 @@
 
     def watch(process: Process) -> None:
         peers = process.replica.peers.peers.values()
-        silent.extend(cluster.now - peer.heard for peer in peers)
+        silent.extend(cluster.now - peer.last_received_at for peer in peers)
 
     cluster.on_tick = watch
     call = cluster.order("a:1", order_of(1, random.Random(1).randbytes(700_000).hex()), 8.0)
--- a/tests/cluster/weakness_measure.py
+++ b/tests/cluster/weakness_measure.py
@@ -77,7 +77,7 @@
     """Whether all members hold all and nothing is being changed."""
     replica = cluster.replicas[newcomer]
     view = replica.agreement.view
-    if view is None or view.previous or len(view.chain) < len(THREE):
+    if view is None or view.previous_members or len(view.chain) < len(THREE):
         return False
     return replica.settings.node in view.chain_nodes and replica.log.state.revision == CHANGES
 
--- a/tests/cluster/worst_days.py
+++ b/tests/cluster/worst_days.py
@@ -226,7 +226,7 @@
         ended = self.cluster.now + JOIN_MOST_S
         while self.cluster.now < ended:
             view = next(iter(self.cluster.replicas.values())).agreement.view
-            if view is not None and not view.previous and len(view.chain) == len(self.members):
+            if view is not None and not view.previous_members and len(view.chain) == len(self.members):
                 return
             self.cluster.run(0.1)
         raise AssertionError("not all machines have become members")
@@ -385,7 +385,7 @@
             replica = self.cluster.replicas[member]
             view = replica.agreement.view
             assert replica.log.committed.sequence == newest, f"{member} lacks entries"
-            assert view is not None and not view.previous, f"{member}: members are being changed"
+            assert view is not None and not view.previous_members, f"{member}: members are being changed"
             assert replica.settings.node in view.members, f"{member} is no member of {view.members}"
             assert replica.settings.node in view.chain_nodes, f"{member} is not in the chain"
 
