--- a/tests/cluster/explorer.py
+++ b/tests/cluster/explorer.py
@@ -1,11 +1,11 @@
-"""Every order of events to a stated depth: three members, two orders on one base, one loss or two.
+"""Explores every order of events up to a depth: three members, two orders on one base, one loss or two.
 
     python -m tests.cluster.explorer --depth 6 [--processes P]
 
-An event is the arrival of the next message on a link, the end of the next write of a disk, or a loss: of a
-process, or of a machine's disk too. In some plays a disk was lost before, and the loss comes while an empty
-member takes the place of that one. A play follows the given choices and goes on in a fixed order behind them;
-the choices are tried one after the other until there are no others.
+An event is the arrival of the next message on a link, the completion of the next disk write, or a loss: of a
+process, or of a process and its disk. In some simulations another disk was lost before, and the loss happens
+while an empty member replaces that one. A simulation follows the given choices of events and then continues
+in a fixed order. All sequences of choices are tried in turn.
 """
 
 from __future__ import annotations
@@ -29,32 +29,32 @@
 ADDRESSES = ("a:1", "b:1", "c:1")
 STEP_S = 0.0002  # between events
 TICK_S = 0.02
-BACK_S = 0.3  # the lost member comes back
-END_S = 8.0
+RESTART_DELAY_S = 0.3  # until a lost member starts again
+FINAL_RUN_S = 8.0  # simulated time after the last choice
 ORDERS = (change(1, 0, "one"), change(1, 0, "another"))
 Event = Callable[[], None]
 
 
 class Loss(NamedTuple):
-    """A process ends; with its disk, if that is wiped."""
+    """The loss of a process, and of its disk if `wiped`."""
 
     address: str
     wiped: bool
 
 
 class Losses(NamedTuple):
-    """What is lost in a play: before the choices begin, and at any point of them."""
+    """The losses of a simulation: one before the choices, if any, and one at any point among them."""
 
-    replaced: Loss | None  # an empty member has come for it, and the view that takes it in is proposed
-    chosen: Loss
+    replaced: Loss | None  # an empty member has started instead, and the view that includes it is proposed
+    explored: Loss
 
 
-class Exploration:
-    """One play."""
+class Simulation:
+    """One simulation with the given choices of events."""
 
     def __init__(self, choices: tuple[int, ...], losses: Losses) -> None:
         self.choices, self.losses = choices, losses
-        self.alternatives: list[int] = []  # how many events there were to choose from, at each choice
+        self.event_counts: list[int] = []  # the number of possible events at each choice
         self.now, self._incarnation, self._tick_at = 0.0, 0, 0.0
         self.records: dict[str, list[Record]] = {address: [] for address in ADDRESSES}
         self.replicas: dict[str, Replica] = {}
@@ -62,8 +62,8 @@
         self.writes: dict[str, deque[Write]] = {}
         self.committed: dict[int, Entry] = {}
         self.answers: dict[int, list[Judgement | None]] = {0: [], 1: []}
-        self._to_lose: Loss | None = None  # what may still come
-        self._back_at: dict[str, float] = {}
+        self._pending_loss: Loss | None = None  # the loss that has not happened yet
+        self._restart_at: dict[str, float] = {}
         for address in ADDRESSES:
             self._start(address, founds=True)
 
@@ -80,15 +80,15 @@
             address, address, "", recovered.node, self._incarnation, True, 1, ADDRESSES, self._incarnation
         )
         replica = self.replicas[address] = Replica(settings, check, recovered.stored, self.now)
-        replica.on_commit = self._note
+        replica.on_commit = self._record_commits
         self.writes[address] = deque()
         for link in [link for link in self.links if address in link]:
             self.links[link].clear()
 
-    def _note(self, entries: list[Entry]) -> None:
+    def _record_commits(self, entries: list[Entry]) -> None:
         for entry in entries:
-            known = self.committed.setdefault(entry.sequence, entry)
-            assert known == entry, f"two entries committed at {entry.sequence}"
+            existing = self.committed.setdefault(entry.sequence, entry)
+            assert existing == entry, f"two different entries committed at sequence {entry.sequence}"
 
     # events
 
@@ -101,14 +101,14 @@
                 self.links.setdefault(link, deque()).append(codec.encode(envelope.message))
 
     def _events(self) -> list[Event]:
-        found: list[Event] = []
+        events: list[Event] = []
         for (sender, receiver), queue in sorted(self.links.items()):
             if queue and receiver in self.replicas:
-                found.append(lambda s=sender, r=receiver: self._deliver(s, r))  # type: ignore[misc]
+                events.append(lambda s=sender, r=receiver: self._deliver(s, r))  # type: ignore[misc]
         for address in self.replicas:
             if self.writes[address]:
-                found.append(lambda a=address: self._sync(a))  # type: ignore[misc]
-        return found
+                events.append(lambda a=address: self._sync(a))  # type: ignore[misc]
+        return events
 
     def _deliver(self, sender: str, receiver: str) -> None:
         message = codec.decode(self.links[sender, receiver].popleft())
@@ -121,23 +121,23 @@
         self.replicas[address].synced(write.number, self.now)
         self._flush(address)
 
-    def _lose_chosen(self) -> None:
-        self._to_lose = None
-        self._lose(self.losses.chosen)
+    def _lose_explored(self) -> None:
+        self._pending_loss = None
+        self._lose(self.losses.explored)
 
     def _lose(self, loss: Loss) -> None:
-        lost, wiped = loss
-        self._back_at[lost] = self.now + BACK_S
-        del self.replicas[lost]
+        address, wiped = loss
+        self._restart_at[address] = self.now + RESTART_DELAY_S
+        del self.replicas[address]
         if wiped:
-            self.records[lost] = []
-        for link in [link for link in self.links if lost in link]:
+            self.records[address] = []
+        for link in [link for link in self.links if address in link]:
             self.links[link].clear()
 
-    def _pass_time(self) -> None:
+    def _advance_time(self) -> None:
         self.now += STEP_S
-        for address in [address for address, back in self._back_at.items() if self.now >= back]:
-            del self._back_at[address]
+        for address in [address for address, restart in self._restart_at.items() if self.now >= restart]:
+            del self._restart_at[address]
             self._start(address, founds=False)
         if self.now >= self._tick_at:
             self._tick_at = self.now + TICK_S
@@ -145,40 +145,40 @@
                 self.replicas[address].tick(self.now)
                 self._flush(address)
 
-    def _go_on(self, until: Callable[[], bool], longest: float) -> None:
-        """Let events come in a fixed order."""
-        end = self.now + longest
-        while not until() and self.now < end:
+    def _run_until(self, condition: Callable[[], bool], timeout_s: float) -> None:
+        """Execute events in a fixed order until the condition holds, for at most `timeout_s`."""
+        end = self.now + timeout_s
+        while not condition() and self.now < end:
             events = self._events()
             if events:
                 events[0]()
             else:
                 self.now = max(self.now, self._tick_at - STEP_S)
-            self._pass_time()
+            self._advance_time()
 
-    # the play
+    # the simulation
 
     def run(self) -> None:
-        """Play; raises AssertionError where something does not hold."""
-        self._go_on(lambda: all(r.established and r.link.joined for r in self.replicas.values()), 5.0)
-        self._go_on(lambda: False, 0.5)
+        """Run the simulation. Raises AssertionError if an invariant does not hold."""
+        self._run_until(lambda: all(r.established and r.link.joined for r in self.replicas.values()), 5.0)
+        self._run_until(lambda: False, 0.5)
         if self.losses.replaced is not None:
             self._lose(self.losses.replaced)
-            self._go_on(self._replaces, 3.0)
-            assert self._replaces(), "no view with another member is proposed"
-        callers = sorted(self.replicas, key=lambda address: address != self.losses.chosen.address)[:2]
+            self._run_until(self._proposes_new_members, 3.0)
+            assert self._proposes_new_members(), "no view with other members is proposed"
+        callers = sorted(self.replicas, key=lambda address: address != self.losses.explored.address)[:2]
         for number, address in enumerate(callers):
             self._call(number, address, ORDERS[number])
-        self._to_lose = self.losses.chosen
+        self._pending_loss = self.losses.explored
         for choice in self.choices:
             self._choose(choice)
-        if self._to_lose is not None:
-            self._lose_chosen()
-        self._go_on(lambda: False, END_S)
+        if self._pending_loss is not None:
+            self._lose_explored()
+        self._run_until(lambda: False, FINAL_RUN_S)
         self._check()
 
-    def _replaces(self) -> bool:
-        """Whether a view with another member is proposed."""
+    def _proposes_new_members(self) -> bool:
+        """Whether a replica proposes a view with other members."""
         agreements = [replica.agreement for replica in self.replicas.values()]
         return any(
             a.proposal is not None and a.view is not None and a.proposal.plan.members != a.view.members
@@ -191,84 +191,94 @@
 
     def _choose(self, choice: int) -> None:
         events = self._events()
-        if self._to_lose is not None:
-            events.append(self._lose_chosen)
-        self.alternatives.append(len(events))
+        if self._pending_loss is not None:
+            events.append(self._lose_explored)
+        self.event_counts.append(len(events))
         if events:
             events[min(choice, len(events) - 1)]()
-        self._pass_time()
+        self._advance_time()
 
     def _check(self) -> None:
         orders = [entry.order for entry in self.committed.values() if entry.order is not None]
-        assert len(orders) <= 1, "two changes on one base"
+        assert len(orders) <= 1, "two changes committed on one base"
         for number, order in enumerate(ORDERS):
             for judgement in self.answers[number]:
                 if judgement is None:
                     continue
-                assert (judgement.verdict in TAKEN) == (order in orders), f"{judgement}: {orders}"
-        again = [list[Judgement | None](), list[Judgement | None]()]
+                assert (judgement.verdict in TAKEN) == (order in orders), f"{judgement}, committed: {orders}"
+        repeated = [list[Judgement | None](), list[Judgement | None]()]
         for number, order in enumerate(ORDERS):
-            self.replicas["c:1"].call(order, self.now, 3.0, again[number].append)
+            self.replicas["c:1"].call(order, self.now, 3.0, repeated[number].append)
         self._flush("c:1")
-        self._go_on(lambda: bool(again[0] and again[1]), 4.0)
-        verdicts = [found[0].verdict if found and found[0] else None for found in again]
-        assert sorted(verdict in TAKEN for verdict in verdicts) == [False, True], f"sent again: {verdicts}"
-        assert Verdict.CONFLICT in verdicts, f"sent again: {verdicts}"
+        self._run_until(lambda: bool(repeated[0] and repeated[1]), 4.0)
+        verdicts = [answers[0].verdict if answers and answers[0] else None for answers in repeated]
+        assert sorted(verdict in TAKEN for verdict in verdicts) == [False, True], f"repeated: {verdicts}"
+        assert Verdict.CONFLICT in verdicts, f"repeated: {verdicts}"
         for address, replica in self.replicas.items():
-            assert replica.log.state.revision == 1, f"{address} lacks the change"
+            assert replica.log.state.revision == 1, f"{address} has not applied the change"
+
 
+def simulations_to(depth: int, first: int, losses: Losses) -> Iterator[Simulation]:
+    """Yield every simulation up to a depth with the given first choice.
 
-def choices_to(depth: int, first: int, losses: Losses) -> Iterator[Exploration]:
-    """Every play to a depth whose first choice is the given one."""
-    prefix = [first] + [0] * (depth - 1)
+    The caller has to run each one before it takes the next.
+    """
+    choices = [first] + [0] * (depth - 1)
     while True:
-        play = Exploration(tuple(prefix), losses)
-        yield play
-        if first >= play.alternatives[0]:
+        simulation = Simulation(tuple(choices), losses)
+        yield simulation
+        if first >= simulation.event_counts[0]:
             return
-        at = depth - 1
-        while at > 0 and prefix[at] + 1 >= play.alternatives[at]:
-            at -= 1
-        if at == 0:
+        index = depth - 1
+        while index > 0 and choices[index] + 1 >= simulation.event_counts[index]:
+            index -= 1
+        if index == 0:
             return
-        prefix = prefix[: at + 1] + [0] * (depth - at - 1)
-        prefix[at] += 1
+        choices = choices[: index + 1] + [0] * (depth - index - 1)
+        choices[index] += 1
 
 
 def explore(job: tuple[int, int, Losses]) -> tuple[int, str]:
-    """Play all of a job: depth, first choice, and what is lost."""
+    """Run all simulations of a job: its depth, first choice and losses.
+
+    Returns how many were run, and the first failure or an empty text.
+    """
     count = 0
-    for play in choices_to(*job):
+    for simulation in simulations_to(*job):
         try:
-            play.run()
+            simulation.run()
         except AssertionError as error:
-            return count + 1, f"{play.choices}, {play.losses}: {error}"
+            return count + 1, f"{simulation.choices}, {simulation.losses}: {error}"
         count += 1
     return count, ""
 
 
-SINGLE = tuple(Losses(None, Loss(lost, wiped)) for lost in ADDRESSES for wiped in (False, True))
-REPLACED = tuple(
+SINGLE_LOSSES = tuple(Losses(None, Loss(lost, wiped)) for lost in ADDRESSES for wiped in (False, True))
+LOSSES_DURING_REPLACEMENT = tuple(
     Losses(Loss(first, True), Loss(second, False)) for first in ADDRESSES for second in ADDRESSES
 )
-FIRST_MOST = 12  # events that there may be to choose from at the beginning
+MAX_FIRST_EVENTS = 12  # upper bound of the number of possible events at the first choice
 
 
 def main() -> int:
-    """Explore to a depth."""
+    """Explore all orders of events up to the depth of the command line."""
     parser = argparse.ArgumentParser(description="Plays every order of events to a depth.")
     parser.add_argument("--depth", type=int, default=4)
     parser.add_argument("--processes", type=int, default=4)
-    chosen = parser.parse_args()
-    jobs = [(chosen.depth, first, losses) for first in range(FIRST_MOST) for losses in (*SINGLE, *REPLACED)]
+    options = parser.parse_args()
+    jobs = [
+        (options.depth, first, losses)
+        for first in range(MAX_FIRST_EVENTS)
+        for losses in (*SINGLE_LOSSES, *LOSSES_DURING_REPLACEMENT)
+    ]
     total, failed = 0, 0
-    with multiprocessing.Pool(chosen.processes) as pool:
+    with multiprocessing.Pool(options.processes) as pool:
         for count, failure in pool.imap_unordered(explore, jobs):
             total += count
             if failure:
                 failed += 1
                 print(failure, flush=True)
-    print(f"{total} plays to depth {chosen.depth}, {failed} jobs failed")
+    print(f"{total} simulations to depth {options.depth}, {failed} jobs failed")
     return 1 if failed else 0
 
 
--- a/tests/cluster/linearizability.py
+++ b/tests/cluster/linearizability.py
@@ -1,8 +1,9 @@
-"""Whether a history of operations at one object is linearizable.
+"""Checks whether a history of operations on one object is linearizable.
 
-The search is Wing and Gong's (1993), with Lowe's memory of what was tried: an operation may come next if none
-that has not come yet ended before it began; two ways that the same operations have come, and that led to one
-state, are one. Operations without an answer may come at any time after their begin, or never.
+The search is that of Wing and Gong (1993) with the memoization of Lowe. An operation may be linearized next
+if no other remaining operation ended before it started. Two orders of the same operations that lead to the
+same state are searched once. Operations without an answer (pending ones) may take effect at any time after
+their start, or never.
 """
 
 from __future__ import annotations
@@ -12,94 +13,97 @@
 from typing import Generic, TypeVar
 
 State = TypeVar("State")
-STEPS_MOST = 2_000_000
+MAX_STEPS = 2_000_000
 
 
-class Undecided(AssertionError):
-    """The search was longer than it may be."""
+class SearchLimitExceeded(AssertionError):
+    """The search took more than MAX_STEPS steps."""
 
 
 @dataclass(frozen=True)
 class Operation(Generic[State]):
-    """One operation: when it began and had its answer, and what it does to a state.
+    """One operation: when it started and was answered, and its effect on a state.
 
-    `apply` returns the state after it, or None where the answer could not have been given at that state.
+    `apply` returns the next state, or None if the answer could not have been given in that state.
     """
 
-    begun: float
-    ended: float | None  # None: without an answer
+    started_at: float
+    ended_at: float | None  # None: pending, without an answer
     apply: Callable[[State], State | None]
 
 
 @dataclass
-class _Place(Generic[State]):
-    """A place in the search: which operations have come, and what is left to try."""
+class _SearchNode(Generic[State]):
+    """A node of the search: the operations linearized so far, and the successors not tried yet."""
 
-    answered: int  # operations that have come, as bits
-    unanswered: int
+    complete_done: int  # bit set of the linearized operations among those with an answer
+    pending_done: int  # bit set of those among the pending operations
     state: State
     candidates: Iterator[tuple[int, int, State]]
 
 
 class _Search(Generic[State]):
     def __init__(self, operations: Sequence[Operation[State]]) -> None:
-        in_order = sorted(operations, key=lambda operation: operation.begun)
-        self._answered = [operation for operation in in_order if operation.ended is not None]
-        self._unanswered = [operation for operation in in_order if operation.ended is None]
-        self._ends = [operation.ended or 0.0 for operation in self._answered]
-        self._all = (1 << len(self._answered)) - 1
+        in_order = sorted(operations, key=lambda operation: operation.started_at)
+        self._complete = [operation for operation in in_order if operation.ended_at is not None]
+        self._pending = [operation for operation in in_order if operation.ended_at is None]
+        self._ends = [operation.ended_at or 0.0 for operation in self._complete]
+        self._all_complete = (1 << len(self._complete)) - 1
 
     def run(self, initial: State) -> bool:
         seen: set[tuple[int, int, State]] = {(0, 0, initial)}
-        places = [_Place(0, 0, initial, self._candidates(0, 0, initial))]
-        for _ in range(STEPS_MOST):
-            place = places[-1]
-            if place.answered == self._all:
+        stack = [_SearchNode(0, 0, initial, self._candidates(0, 0, initial))]
+        for _ in range(MAX_STEPS):
+            node = stack[-1]
+            if node.complete_done == self._all_complete:
                 return True
-            following = next(place.candidates, None)
-            if following is None:
-                places.pop()
-                if not places:
+            successor = next(node.candidates, None)
+            if successor is None:
+                stack.pop()
+                if not stack:
                     return False
-            elif following not in seen:
-                seen.add(following)
-                places.append(_Place(*following, self._candidates(*following)))
-        raise Undecided(f"no verdict after {STEPS_MOST} steps")
-
-    def _candidates(self, answered: int, unanswered: int, state: State) -> Iterator[tuple[int, int, State]]:
-        """Operations that may come next, those with an answer first.
-
-        One that leaves the state as it is may as well come now: nothing is lost by it for the others.
+            elif successor not in seen:
+                seen.add(successor)
+                stack.append(_SearchNode(*successor, self._candidates(*successor)))
+        raise SearchLimitExceeded(f"no verdict after {MAX_STEPS} steps")
+
+    def _candidates(
+        self, complete_done: int, pending_done: int, state: State
+    ) -> Iterator[tuple[int, int, State]]:
+        """Yield the successors: by each operation that may be linearized next, those with an answer first.
+
+        An answered operation that leaves the state unchanged is linearized at once: this rules out no order
+        of the others.
         """
-        possible, latest = self._possible(answered)
-        reached = {number: self._answered[number].apply(state) for number in possible}
-        for number, after in reached.items():
-            if after == state:
-                yield answered | 1 << number, unanswered, after
+        possible, first_end = self._linearizable_next(complete_done)
+        reached = {index: self._complete[index].apply(state) for index in possible}
+        for index, next_state in reached.items():
+            if next_state == state:
+                yield complete_done | 1 << index, pending_done, next_state
                 return
-        for number, after in reached.items():
-            if after is not None:
-                yield answered | 1 << number, unanswered, after
-        for number, operation in enumerate(self._unanswered):
-            if operation.begun > latest:
+        for index, next_state in reached.items():
+            if next_state is not None:
+                yield complete_done | 1 << index, pending_done, next_state
+        for index, operation in enumerate(self._pending):
+            if operation.started_at > first_end:
                 break
-            after = None if unanswered >> number & 1 else operation.apply(state)
-            if after is not None and after != state:
-                yield answered, unanswered | 1 << number, after
-
-    def _possible(self, answered: int) -> tuple[list[int], float]:
-        """Operations with an answer that none ended before, and the first end of all that have not come."""
-        found: list[int] = []
-        latest = float("inf")
-        number = (~answered & (answered + 1)).bit_length() - 1  # the first that has not come
-        while number < len(self._answered) and self._answered[number].begun <= latest:
-            if not answered >> number & 1:
-                found.append(number)
-                latest = min(latest, self._ends[number])
-            number += 1
-        return [n for n in found if self._answered[n].begun <= latest], latest
+            next_state = None if pending_done >> index & 1 else operation.apply(state)
+            if next_state is not None and next_state != state:
+                yield complete_done, pending_done | 1 << index, next_state
+
+    def _linearizable_next(self, complete_done: int) -> tuple[list[int], float]:
+        """Return the answered operations that may come next, and the first end of all remaining ones."""
+        candidates: list[int] = []
+        first_end = float("inf")
+        index = (~complete_done & (complete_done + 1)).bit_length() - 1  # the first remaining operation
+        while index < len(self._complete) and self._complete[index].started_at <= first_end:
+            if not complete_done >> index & 1:
+                candidates.append(index)
+                first_end = min(first_end, self._ends[index])
+            index += 1
+        return [i for i in candidates if self._complete[i].started_at <= first_end], first_end
 
 
 def is_linearizable(operations: Sequence[Operation[State]], initial: State) -> bool:
-    """Whether the operations can be put in one order that explains all answers."""
+    """Whether some order of the operations explains all answers. Raises SearchLimitExceeded."""
     return _Search(operations).run(initial)
--- a/tests/cluster/test_agreement_model.py
+++ b/tests/cluster/test_agreement_model.py
@@ -1,4 +1,4 @@
-"""The agreement on views, state by state; mutations.py takes its mechanisms out."""
+"""Tests of the agreement on views with a model checker. mutations.py shows that they detect faults."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from pebbledrift.chain.view import founding_view
 from tests.cluster import agreement_model
 
-WHOLE = ("two proposers, an attempt each",)  # the command visits all worlds of all setups
+# the command `python -m tests.cluster.agreement_model` visits all states of all setups
+EXHAUSTIVE = ("two proposers, one attempt each",)
 WALKS = 4000
 VIEW = founding_view(("a:1", "b:1", "c:1"))
 BALLOT = Ballot(2, 1, "b:1/0#1")
 
 
 @pytest.mark.parametrize("setup", agreement_model.SETUPS, ids=lambda setup: setup.name)
-def test_no_state_has_two_views_decided_for_one_epoch(setup: agreement_model.Setup) -> None:
-    explorer = agreement_model.Explorer(setup)
-    if setup.name in WHOLE:
-        assert explorer.run()
+def test_no_state_has_two_decided_views_for_one_epoch(setup: agreement_model.Setup) -> None:
+    checker = agreement_model.ModelChecker(setup)
+    if setup.name in EXHAUSTIVE:
+        assert checker.run()
     else:
-        explorer.walk(WALKS, seed=1)
-    assert explorer.decided
+        checker.walk(WALKS, seed=1)
+    assert checker.decided
 
 
-def begun(incarnation: int = 1) -> tuple[Agreement, Outbox]:
+def make_agreement(incarnation: int = 1) -> tuple[Agreement, Outbox]:
     outbox = Outbox("a:1")
     agreement = Agreement("a:1/0", incarnation, outbox, lambda: NO_STAMP, lambda: None, 0)
     agreement.restore(VIEW, None)
@@ -37,8 +38,8 @@
 @pytest.mark.parametrize(
     "message", [Prepare(BALLOT, VIEW), Accept(BALLOT, VIEW)], ids=["promise", "acceptance"]
 )
-def test_nothing_is_told_before_it_is_on_the_disk(message: Prepare | Accept) -> None:
-    agreement, outbox = begun()
+def test_no_answer_is_sent_before_the_vote_is_synced(message: Prepare | Accept) -> None:
+    agreement, outbox = make_agreement()
     if isinstance(message, Prepare):
         agreement.on_prepare("b:1", message)
     else:
@@ -50,11 +51,11 @@
     assert [type(e.message) for e in outbox.take_envelopes()] in ([Promise], [Accepted])
 
 
-def test_two_processes_of_a_replica_never_have_the_same_ballot() -> None:
-    """The first ends before its own promise is on its disk; the next knows of no attempt."""
+def test_two_incarnations_of_a_replica_never_use_the_same_ballot() -> None:
+    """The first process crashes before its own promise is synced: the next one knows of no round."""
     ballots = set()
     for incarnation in (1, 2):
-        agreement, outbox = begun(incarnation)
+        agreement, outbox = make_agreement(incarnation)
         agreement.propose(Plan(VIEW.members, (), ()), 1.0)
         ballots |= {e.message.ballot for e in outbox.take_envelopes() if isinstance(e.message, Prepare)}
     assert len(ballots) == 2
--- a/tests/cluster/test_chain.py
+++ b/tests/cluster/test_chain.py
@@ -1,4 +1,4 @@
-"""The chain and its agreed view, on simulated time."""
+"""Tests of chain replication and its views, in simulated time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return None if judgement is None else judgement.verdict
 
 
-def test_a_change_is_taken_at_any_keeper() -> None:
+def test_a_change_is_accepted_at_any_keeper() -> None:
     cluster = Cluster(THREE)
     cluster.run(1.0)
     for number, address in enumerate(THREE, start=1):
@@ -28,19 +28,19 @@
     assert {r.log.state.revision for r in cluster.replicas.values()} == {3}
 
 
-def test_the_same_change_again_is_taken_and_another_conflicts() -> None:
+def test_a_repeated_change_is_accepted_and_another_one_conflicts() -> None:
     cluster = Cluster(THREE)
     cluster.run(1.0)
     cluster.order("a:1", change(5, 0))
     cluster.run(0.3)
-    again, other = cluster.order("b:1", change(5, 0)), cluster.order("c:1", change(6, 0, "other"))
+    repeated, other = cluster.order("b:1", change(5, 0)), cluster.order("c:1", change(6, 0, "other"))
     cluster.run(0.3)
-    assert verdict(again) in (Verdict.TAKEN, Verdict.TAKEN_BEFORE)
+    assert verdict(repeated) in (Verdict.TAKEN, Verdict.TAKEN_BEFORE)
     assert verdict(other) == Verdict.CONFLICT
 
 
 @pytest.mark.parametrize("lost", THREE)
-def test_a_member_that_loses_its_disk_gets_all_again(lost: str) -> None:
+def test_a_member_that_loses_its_disk_recovers_all_entries(lost: str) -> None:
     cluster = Cluster(THREE)
     cluster.run(1.0)
     cluster.order("a:1", change(1, 0))
@@ -74,28 +74,28 @@
 
 
 @pytest.mark.parametrize("kind", [Prepare, Promise, Accept, Accepted])
-def test_a_step_of_the_agreement_that_was_lost_is_made_again_soon(kind: type) -> None:
+def test_a_lost_message_of_the_agreement_is_sent_again_soon(kind: type) -> None:
     cluster = Cluster(THREE)
     cluster.run(1.0)
     for address in THREE:
         cluster.kill(address)
     for address in THREE:
         cluster.start(address)
-    lost: list[object] = []
+    dropped: list[object] = []
 
-    def loses(message: object) -> bool:
-        if isinstance(message, kind) and len(lost) < 2:
-            lost.append(message)
+    def drops(message: object) -> bool:
+        if isinstance(message, kind) and len(dropped) < 2:
+            dropped.append(message)
             return True
         return False
 
-    cluster.loses = loses
+    cluster.loses = drops
     cluster.run(0.25)
-    assert lost
+    assert dropped
     assert all(replica.current(cluster.now) for replica in cluster.replicas.values())
 
 
-def test_all_are_killed_and_come_back() -> None:
+def test_a_cluster_recovers_when_all_members_were_killed() -> None:
     cluster = Cluster(THREE)
     cluster.run(1.0)
     cluster.order("a:1", change(1, 0))
@@ -111,7 +111,7 @@
     assert verdict(call) == Verdict.TAKEN
 
 
-def test_a_stalled_disk_leaves_the_chain() -> None:
+def test_a_member_with_a_stalled_disk_leaves_the_chain() -> None:
     cluster = Cluster(THREE)
     cluster.run(1.0)
     cluster.disks["b:1"].stalled_until = cluster.now + 5.0
@@ -124,14 +124,14 @@
     assert view is not None and len(view.chain) == 3
 
 
-def test_a_stale_member_and_an_empty_one_decide_nothing() -> None:
+def test_a_stale_and_an_empty_member_commit_and_read_nothing() -> None:
     cluster = Cluster(THREE)
     cluster.run(1.0)
     cluster.cut_off("a:1")
     cluster.run(1.5)
-    taken = cluster.order("b:1", change(1, 0))
+    accepted = cluster.order("b:1", change(1, 0))
     cluster.run(1.0)
-    assert verdict(taken) == Verdict.TAKEN
+    assert verdict(accepted) == Verdict.TAKEN
     cluster.wipe("b:1")
     cluster.kill("c:1", power=True)
     cluster.heal()
@@ -147,32 +147,32 @@
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_what_is_acknowledged_stays_under_random_trouble(seed: int) -> None:
-    """One machine at a time is lost, killed, cut or stalled while orders go in everywhere."""
+def test_acknowledged_orders_survive_random_faults(seed: int) -> None:
+    """One machine at a time is wiped, killed, cut off or stalled while orders are sent to all keepers."""
     rng = random.Random(seed)
     cluster = Cluster(THREE, seed)
     cluster.run(1.0)
     revision = 0
     for _ in range(25):
-        trouble = rng.choice(("kill", "power", "wipe", "cut", "stall", "loss", "none"))
+        fault = rng.choice(("kill", "power", "wipe", "cut", "stall", "loss", "none"))
         victim = rng.choice(THREE)
-        if trouble == "kill":
+        if fault == "kill":
             cluster.kill(victim)
-        elif trouble == "power":
+        elif fault == "power":
             cluster.kill(victim, power=True)
-        elif trouble == "wipe":
+        elif fault == "wipe":
             cluster.wipe(victim)
-        elif trouble == "cut":
+        elif fault == "cut":
             cluster.cut_off(victim, rng.sample(THREE, rng.choice((1, 2, 3))))
-        elif trouble == "stall":
+        elif fault == "stall":
             cluster.disks[victim].stalled_until = cluster.now + rng.uniform(0.2, 3.0)
-        elif trouble == "loss":
+        elif fault == "loss":
             cluster.loss = 0.2
         for _ in range(rng.randrange(6)):
             base = max((r.log.state.revision for r in cluster.replicas.values()), default=0)
             revision = max(revision, base) + rng.randrange(1, 3)
-            for at in rng.sample(THREE, rng.choice((1, 1, 2))):
-                cluster.order(at, change(revision, base, rng.random()))
+            for address in rng.sample(THREE, rng.choice((1, 1, 2))):
+                cluster.order(address, change(revision, base, rng.random()))
             cluster.run(rng.choice((0.0, 0.001, 0.01, 0.3)))
         cluster.run(rng.uniform(0.0, 3.0))
         if rng.random() < 0.1:
@@ -187,18 +187,18 @@
         for address in THREE:
             cluster.check_kept(address)
     accepted = [order.base for order in set(cluster.acknowledged())]
-    assert len(accepted) == len(set(accepted)), "two changes on one base"
+    assert len(accepted) == len(set(accepted)), "two changes acknowledged on one base"
     assert len(accepted) > 10
     refused = [c for c in cluster.calls if c.judgement and c.judgement.verdict == Verdict.CONFLICT]
-    kept = cluster.replicas["a:1"].log.state.taken
-    assert not [c for c in refused if c.order and c.order.digest in kept], "refused and in force"
+    applied = cluster.replicas["a:1"].log.state.taken
+    assert not [c for c in refused if c.order and c.order.digest in applied], "a refused change is in force"
     final = cluster.order("b:1", None)
     cluster.run(1.0)
-    assert final.revision == max(kept.values())
+    assert final.revision == max(applied.values())
 
 
-def test_a_lost_disk_and_its_successor_are_never_in_one_chain() -> None:
-    """The new replica is heard while the old one, at the same address, still counts as alive."""
+def test_a_replica_and_its_successor_at_one_address_are_never_in_one_chain() -> None:
+    """The new replica sends heartbeats while the old one, which lost its disk, still counts as alive."""
     cluster = Cluster(THREE)
     cluster.run(1.0)
     cluster.wipe("c:1")
--- a/tests/cluster/test_drawn_days.py
+++ b/tests/cluster/test_drawn_days.py
@@ -45,17 +45,20 @@
     if not isinstance(given, explorer.Losses):
         return str(given)
     replaced = f"{given.replaced.address} replaced, " if given.replaced is not None else ""
-    return f"{replaced}{given.chosen.address} {'wiped' if given.chosen.wiped else 'killed'}"
+    return f"{replaced}{given.explored.address} {'wiped' if given.explored.wiped else 'killed'}"
 
 
 @pytest.mark.parametrize(
     ("losses", "depth"),
-    [*((losses, 7) for losses in explorer.SINGLE), *((losses, 3) for losses in explorer.REPLACED)],
+    [
+        *((losses, 7) for losses in explorer.SINGLE_LOSSES),
+        *((losses, 3) for losses in explorer.LOSSES_DURING_REPLACEMENT),
+    ],
     ids=described,
 )
 def test_explored_orders_of_events_hold(losses: explorer.Losses, depth: int) -> None:
     played = 0
-    for first in range(explorer.FIRST_MOST):
+    for first in range(explorer.MAX_FIRST_EVENTS):
         count, failure = explorer.explore((depth, first, losses))
         assert not failure, failure
         played += count
--- a/tests/cluster/test_linearizability.py
+++ b/tests/cluster/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The search itself, on histories of a versioned register that are known to be right or wrong."""
+"""Tests of the linearizability check, on histories of a versioned register with a known verdict."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from tests.cluster.operators import read_of, refusal_of, taken_of
 
 
-def taken(begun: float, ended: float | None, base: int, revision: int) -> Operation[int]:
-    return Operation(begun, ended, taken_of(base, revision))
+def taken(started_at: float, ended_at: float | None, base: int, revision: int) -> Operation[int]:
+    return Operation(started_at, ended_at, taken_of(base, revision))
 
 
-def read(begun: float, ended: float, revision: int) -> Operation[int]:
-    return Operation(begun, ended, read_of(revision))
+def read(started_at: float, ended_at: float, revision: int) -> Operation[int]:
+    return Operation(started_at, ended_at, read_of(revision))
 
 
-def refused(begun: float, ended: float, base: int, revision: int) -> Operation[int]:
-    return Operation(begun, ended, refusal_of(base, revision))
+def refused(started_at: float, ended_at: float, base: int, revision: int) -> Operation[int]:
+    return Operation(started_at, ended_at, refusal_of(base, revision))
 
 
 @pytest.mark.parametrize(
@@ -30,9 +30,16 @@
         [taken(0, 1, 0, 1), refused(2, 3, 0, 2), taken(4, 5, 1, 2)],
         [taken(0, 8, 0, 1), taken(1, 9, 1, 2), read(2, 3, 2), refused(2, 5, 0, 3)],
     ],
-    ids=["one by one", "beside", "unclear and taken", "unclear and not", "refused", "several beside"],
+    ids=[
+        "sequential",
+        "concurrent",
+        "pending, took effect",
+        "pending, no effect",
+        "refused",
+        "several concurrent",
+    ],
 )
-def test_what_one_register_may_have_answered(history: list[Operation[int]]) -> None:
+def test_a_linearizable_history_is_accepted(history: list[Operation[int]]) -> None:
     assert is_linearizable(history, 0)
 
 
@@ -47,13 +54,13 @@
         [taken(0, None, 0, 1), read(1, 2, 1), read(3, 4, 0)],
     ],
     ids=[
-        "old read",
-        "goes back",
-        "two on one base",
-        "refused for nothing",
-        "before it began",
-        "unclear, back",
+        "stale read",
+        "read goes back",
+        "two changes on one base",
+        "refused without a conflict",
+        "read before the start of the change",
+        "pending change, read goes back",
     ],
 )
-def test_what_no_register_answers(history: list[Operation[int]]) -> None:
+def test_a_history_that_is_not_linearizable_is_rejected(history: list[Operation[int]]) -> None:
     assert not is_linearizable(history, 0)
