--- a/pebbledrift/keeper/__init__.py
+++ b/pebbledrift/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""The keeper: holds the fleet's control state, serves workers and the operator, tells the routers."""
+"""The keeper process: replicates the control state, serves workers and operators, informs the routers."""
--- a/pebbledrift/keeper/api.py
+++ b/pebbledrift/keeper/api.py
@@ -1,4 +1,4 @@
-"""The control interface over HTTP: workers register, the operator changes and reads the configuration."""
+"""The HTTP control interface: workers send heartbeats, operators read and change the configuration."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-THREADS, THREADS_MOST = 12, 24
-BODY_MOST = 8 * 1024 * 1024
-CALL_S = 4.5  # a call that takes longer has no clear answer
-IDLE_S = 20
+MIN_THREADS, MAX_THREADS = 12, 24
+MAX_BODY_BYTES = 8 * 1024 * 1024
+CALL_TIMEOUT_S = 4.5  # after which the outcome of a call is unknown
+IDLE_TIMEOUT_S = 20  # of an HTTP connection
 INSTANCE_PATH = re.compile(r"/-/instances/([^/]{1,128})/(heartbeat|deregister)\Z")
-STATUS = {
+STATUS_LINES = {
     200: "200 OK",
     400: "400 Bad Request",
     404: "404 Not Found",
@@ -31,7 +31,7 @@
     413: "413 Content Too Large",
     503: "503 Service Unavailable",
 }
-OF_VERDICT = {
+STATUS_OF_VERDICT = {
     Verdict.TAKEN: 200,
     Verdict.TAKEN_BEFORE: 200,
     Verdict.CONFLICT: 412,
@@ -43,43 +43,43 @@
 
 
 class Reply(NamedTuple):
-    """What is answered: as JSON, or a text as it is."""
+    """An HTTP reply; the body is sent as JSON, or as text if the content type is another one."""
 
     status: int
     body: Any
     content_type: str = "application/json"
 
     def encoded(self) -> bytes:
-        """The body as bytes."""
+        """Returns the body as bytes."""
         if self.content_type != "application/json":
             return str(self.body).encode()
         return json.dumps(self.body, separators=(",", ":")).encode()
 
 
-class ControlState(Protocol):
-    """What the interface asks of the keeper, on the keeper's own loop."""
+class ControlBackend(Protocol):
+    """The keeper's side of the control interface; its coroutines run on the keeper's event loop."""
 
-    async def order(self, order: Order) -> Judgement | None:
-        """Carry an order out; None where there is no clear answer."""
+    async def submit_order(self, order: Order) -> Judgement | None:
+        """Carries out an operator's order; returns None if its outcome is unknown."""
 
-    async def read(self) -> dict[str, Any] | None:
-        """The newest configuration; None where that cannot be told."""
+    async def read_config(self) -> dict[str, Any] | None:
+        """Returns the newest configuration; None if this keeper cannot confirm that it has it."""
 
     async def heartbeat(self, instance: Instance) -> bool:
-        """Take a worker's heartbeat in; returns whether it may be acknowledged."""
+        """Processes a worker's heartbeat; returns whether it may be acknowledged."""
 
     async def deregister(self, instance: str) -> bool:
-        """A worker's instance has ended; returns whether that may be acknowledged."""
+        """Marks a worker's instance as gone; returns whether that may be acknowledged."""
 
     async def status(self) -> dict[str, Any]:
-        """What an operator wants to see of this keeper."""
+        """Returns this keeper's status for operators."""
 
 
 class ControlApi:
-    """The WSGI application. Its threads hand every call to the loop that owns the state."""
+    """The WSGI application. Its threads pass each call to the event loop that owns the keeper's state."""
 
-    def __init__(self, state: ControlState, loop: asyncio.AbstractEventLoop) -> None:
-        self._state, self._loop = state, loop
+    def __init__(self, backend: ControlBackend, loop: asyncio.AbstractEventLoop) -> None:
+        self._backend, self._loop = backend, loop
 
     def __call__(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> Iterable[bytes]:
         try:
@@ -87,19 +87,19 @@
         except TimeoutError:
             reply = Reply(503, {"error": "no answer in time"})
         except Exception:
-            log.exception("control call failed")
+            log.exception("control API request failed")
             reply = Reply(503, {"error": "internal"})
         body = reply.encoded()
         headers = [("Content-Type", reply.content_type), ("Content-Length", str(len(body)))]
         if reply.status == 503:
             headers.append(("Retry-After", "0.3"))
-        start_response(STATUS[reply.status], headers)
+        start_response(STATUS_LINES[reply.status], headers)
         return [body]
 
     def _on_loop(self, call: Coroutine[Any, Any, Answered]) -> Answered:
         future = asyncio.run_coroutine_threadsafe(call, self._loop)
         try:
-            return future.result(CALL_S)
+            return future.result(CALL_TIMEOUT_S)
         except TimeoutError:
             future.cancel()
             raise
@@ -108,53 +108,57 @@
         method, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
         instance = INSTANCE_PATH.match(path)
         if instance and method == "POST":
-            return self._worker(instance[1], instance[2], _body(environ))
+            return self._handle_worker_call(instance[1], instance[2], _body(environ))
         if path == "/-/config/read" and method == "GET":
-            return self._read()
+            return self._read_config()
         if path == "/-/config/replace" and method == "POST":
-            return self._order(OrderKind.REPLACE, environ)
+            return self._handle_order(OrderKind.REPLACE, environ)
         if path == "/-/config/update" and method == "POST":
-            return self._order(OrderKind.UPDATE, environ)
+            return self._handle_order(OrderKind.UPDATE, environ)
         if path == "/-/status" and method == "GET":
-            return Reply(200, self._on_loop(self._state.status()))
+            return Reply(200, self._on_loop(self._backend.status()))
         if path == "/-/metrics" and method == "GET":
-            return self._metrics()
+            return self._render_metrics()
         return Reply(404, {"error": f"no such call: {method} {path}"})
 
-    def _metrics(self) -> Reply:
+    def _render_metrics(self) -> Reply:
         from pebbledrift.cluster.exposition import CONTENT_TYPE
         from pebbledrift.keeper.exposition import exposition
 
-        return Reply(200, exposition(self._on_loop(self._state.status())), CONTENT_TYPE)
+        return Reply(200, exposition(self._on_loop(self._backend.status())), CONTENT_TYPE)
 
-    def _worker(self, instance: str, call: str, body: bytes) -> Reply:
+    def _handle_worker_call(self, instance: str, call: str, body: bytes) -> Reply:
         if call == "deregister":
-            known = self._on_loop(self._state.deregister(instance))
-            return Reply(200, {}) if known else Reply(503, {"error": "not told to a majority of the keepers"})
+            confirmed = self._on_loop(self._backend.deregister(instance))
+            return (
+                Reply(200, {})
+                if confirmed
+                else Reply(503, {"error": "not told to a majority of the keepers"})
+            )
         try:
-            told = parse_heartbeat(instance, json.loads(body))
+            reported = parse_heartbeat(instance, json.loads(body))
         except (MalformedHeartbeat, ValueError, RecursionError) as error:
             return Reply(400, {"error": str(error)})
-        taken = self._on_loop(self._state.heartbeat(told))
-        return Reply(200, {}) if taken else Reply(503, {"error": "not taken, or not told to a majority"})
+        accepted = self._on_loop(self._backend.heartbeat(reported))
+        return Reply(200, {}) if accepted else Reply(503, {"error": "not taken, or not told to a majority"})
 
-    def _read(self) -> Reply:
-        config = self._on_loop(self._state.read())
+    def _read_config(self) -> Reply:
+        config = self._on_loop(self._backend.read_config())
         if config is None:
             return Reply(503, {"error": "the newest configuration is not known here"})
         return Reply(200, config)
 
-    def _order(self, kind: OrderKind, environ: dict[str, Any]) -> Reply:
+    def _handle_order(self, kind: OrderKind, environ: dict[str, Any]) -> Reply:
         base = environ.get("HTTP_X_PEBBLEDRIFT_BASE_VERSION", "")
         if not base.isdigit():
             return Reply(400, {"error": f"X-Pebbledrift-Base-Version: a version is needed, not {base!r}"})
         body = _body(environ)
-        if len(body) > BODY_MOST:
-            return Reply(413, {"error": f"a configuration has at most {BODY_MOST} bytes"})
-        judgement = self._on_loop(self._state.order(Order(kind, int(base), body)))
+        if len(body) > MAX_BODY_BYTES:
+            return Reply(413, {"error": f"a configuration has at most {MAX_BODY_BYTES} bytes"})
+        judgement = self._on_loop(self._backend.submit_order(Order(kind, int(base), body)))
         if judgement is None:
             return Reply(503, {"error": "no clear answer: send the same again"})
-        status = OF_VERDICT[Verdict(judgement.verdict)]
+        status = STATUS_OF_VERDICT[Verdict(judgement.verdict)]
         return Reply(status, {} if status == 200 else {"error": judgement.reason})
 
 
@@ -163,15 +167,15 @@
 
 
 def make_server(address: Address, api: ControlApi) -> wsgi.Server:
-    """The HTTP server, ready to be served from a thread."""
+    """Creates the HTTP server; the caller starts it in a thread."""
     server = wsgi.Server(
         address,
         api,
-        numthreads=THREADS,
-        max=THREADS_MOST,
+        numthreads=MIN_THREADS,
+        max=MAX_THREADS,
         request_queue_size=128,
-        timeout=IDLE_S,
+        timeout=IDLE_TIMEOUT_S,
         shutdown_timeout=1,
     )
-    server.max_request_body_size = BODY_MOST + 1024
+    server.max_request_body_size = MAX_BODY_BYTES + 1024
     return server
--- a/pebbledrift/keeper/disk.py
+++ b/pebbledrift/keeper/disk.py
@@ -1,4 +1,4 @@
-"""The thread that waits on the disk in the place of the event loop."""
+"""Writes to the disk in a separate thread, so that the event loop never waits for it."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.2  # between tries to write while the disk refuses
+RETRY_INTERVAL_S = 0.2  # between attempts while writing to the disk fails
 
 
 class DiskWriter:
-    """Writes in order and reports each write once it is synced. A disk that refuses is tried again."""
+    """Writes records in order and reports writes once they are synced; retries failed writes forever.
+
+    `synced` is called on the event loop with the number of the last write that is on disk.
+    """
 
     def __init__(self, storage: Storage, synced: Callable[[int], None]) -> None:
         self._storage = storage
@@ -28,22 +31,22 @@
         self._loop = asyncio.get_running_loop()
         self._queue: queue.SimpleQueue[Write | Image | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
-        self._slot_asked = False
+        self._image_requested = False
         self._thread.start()
 
-    def put(self, write: Write) -> None:
-        """Have a write done."""
+    def enqueue_write(self, write: Write) -> None:
+        """Queues a write."""
         self._queue.put(write)
 
-    def wants_image(self) -> bool:
-        """Whether a slot should be written; answers so once until it is."""
-        if self._slot_asked or not self._storage.wants_slot:
+    def should_write_image(self) -> bool:
+        """Returns True if a state image should be written to a slot, and then False until that is done."""
+        if self._image_requested or not self._storage.wants_slot:
             return False
-        self._slot_asked = True
+        self._image_requested = True
         return True
 
-    def put_image(self, image: Image) -> None:
-        """Have a slot written. All writes put before are in the image; those put later come behind it."""
+    def enqueue_image(self, image: Image) -> None:
+        """Queues a state image. It must contain all writes queued before it; later ones follow it."""
         self._queue.put(image)
 
     def _run(self) -> None:
@@ -51,41 +54,41 @@
             batch = [item]
             while not isinstance(batch[-1], Image):
                 try:
-                    following = self._queue.get_nowait()
+                    next_item = self._queue.get_nowait()
                 except queue.Empty:
                     break
-                if following is None:
+                if next_item is None:
                     self._queue.put(None)
                     break
-                batch.append(following)
-            self._carry_out(batch)
+                batch.append(next_item)
+            self._process_batch(batch)
 
-    def _carry_out(self, batch: list[Write | Image]) -> None:
+    def _process_batch(self, batch: list[Write | Image]) -> None:
         writes = [item for item in batch if isinstance(item, Write)]
         records = [record for write in writes for record in write.records]
         if records:
-            self._until_done(lambda: self._storage.append(records))
+            self._retry_until_done(lambda: self._storage.append(records))
         if writes:
-            self._report(writes[-1].number)
+            self._report_synced(writes[-1].number)
         if isinstance(batch[-1], Image):
             image = batch[-1]
             try:
                 self._storage.write_slot(image)
             except StorageError as error:
-                log.warning("slot not written", extra={"error": str(error)})
-            self._slot_asked = False
+                log.warning("writing the state image failed", extra={"error": str(error)})
+            self._image_requested = False
 
-    def _until_done(self, action: Callable[[], None]) -> None:
+    def _retry_until_done(self, action: Callable[[], None]) -> None:
         while True:
             try:
                 action()
                 return
             except StorageError as error:
-                log.warning("disk refuses", extra={"error": str(error)})
-                time.sleep(RETRY_S)
+                log.warning("disk write failed, will retry", extra={"error": str(error)})
+                time.sleep(RETRY_INTERVAL_S)
 
-    def _report(self, number: int) -> None:
+    def _report_synced(self, number: int) -> None:
         try:
             self._loop.call_soon_threadsafe(self._synced, number)
         except RuntimeError:
-            return  # the loop has ended
+            return  # the event loop is closed
--- a/pebbledrift/keeper/exposition.py
+++ b/pebbledrift/keeper/exposition.py
@@ -1,4 +1,4 @@
-"""A keeper's figures as text for scrapers, from its status."""
+"""Renders a keeper's status as metrics in the text exposition format."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def exposition(status: Mapping[str, Any]) -> str:
-    """All figures."""
-    return render([*_standing(status), _workers(status), *_quotas(status)])
+    """Returns all metrics of a keeper, given its status."""
+    return render([*_keeper_metrics(status), _worker_metrics(status), *_quota_metrics(status)])
 
 
-def _standing(status: Mapping[str, Any]) -> list[Family]:
+def _keeper_metrics(status: Mapping[str, Any]) -> list[Family]:
     return [
         gauge("pebbledrift_current", "Whether this keeper hears a majority.", float(status["current"])),
         gauge("pebbledrift_config_revision", "Version of the configuration in place.", status["revision"]),
@@ -26,15 +26,17 @@
     ]
 
 
-def _workers(status: Mapping[str, Any]) -> Family:
-    counts = Counter((told["backend"], told["state"]) for told in status["instances"].values())
-    samples = [Sample(n, {"backend": backend, "state": state}) for (backend, state), n in counts.items()]
+def _worker_metrics(status: Mapping[str, Any]) -> Family:
+    counts = Counter((instance["backend"], instance["state"]) for instance in status["instances"].values())
+    samples = [
+        Sample(count, {"backend": backend, "state": state}) for (backend, state), count in counts.items()
+    ]
     return Family("pebbledrift_workers", "gauge", "Workers by service and state.", tuple(samples))
 
 
-def _quotas(status: Mapping[str, Any]) -> list[Family]:
+def _quota_metrics(status: Mapping[str, Any]) -> list[Family]:
     quotas: Mapping[str, Mapping[str, float]] = status["quotas"]
-    names = {"lent": "Lent in the present window.", "most": "What may be lent in one window."}
+    help_texts = {"lent": "Lent in the present window.", "most": "What may be lent in one window."}
     return [
         Family(
             f"pebbledrift_quota_{key}",
@@ -42,5 +44,5 @@
             text,
             tuple(Sample(quota[key], {"tenant": tenant}) for tenant, quota in quotas.items()),
         )
-        for key, text in names.items()
+        for key, text in help_texts.items()
     ]
--- a/pebbledrift/keeper/instance_store.py
+++ b/pebbledrift/keeper/instance_store.py
@@ -1,6 +1,6 @@
-"""The instances that a keeper knew, kept over a restart: routers need not wait for the next heartbeats.
+"""Stores the worker instances across restarts, so that routers need not wait for the next heartbeats.
 
-What is read back is a hint. Heartbeats overrule it, and a request names the instance that it is for.
+The loaded instances are only a hint: heartbeats override them, and a request names its target instance.
 """
 
 from __future__ import annotations
@@ -16,54 +16,54 @@
 
 log = logging.getLogger(__name__)
 
-WAITING_MOST = 512
-Saved = Callable[[], None]
+MAX_WAITING_CALLBACKS = 512  # the oldest is dropped first
+SavedCallback = Callable[[], None]
 
 
 class InstanceStore:
-    """Saves the newest snapshot in a thread of its own; a slow disk leaves snapshots out."""
+    """Saves the newest snapshot in a separate thread; a slow disk skips intermediate snapshots."""
 
     def __init__(self, folder: Path) -> None:
         self._slots = SlotPair(folder, "instances")
-        self._newest: InstanceSnapshot | None = None
-        self._waiting: list[Saved] = []  # told once the newest is on the disk
-        self._changed = threading.Condition()
+        self._pending_snapshot: InstanceSnapshot | None = None
+        self._waiting_callbacks: list[SavedCallback] = []  # called once the pending snapshot is on disk
+        self._condition = threading.Condition()
         self._thread = threading.Thread(target=self._run, name="instances", daemon=True)
 
     def load(self) -> tuple[Instance, ...]:
-        """What was saved last; nothing where there is nothing that can be read."""
+        """Returns the last saved instances, none if they are unreadable, and starts the writing thread."""
         try:
-            found = self._slots.newest()
+            stored = self._slots.newest()
         except OSError as error:
-            log.warning("instances not read", extra={"error": str(error)})
-            found = None
+            log.warning("reading the saved worker instances failed", extra={"error": str(error)})
+            stored = None
         self._thread.start()
-        return tuple(found.instances) if isinstance(found, InstanceSnapshot) else ()
+        return tuple(stored.instances) if isinstance(stored, InstanceSnapshot) else ()
 
-    def save(self, instances: Iterable[Instance], saved: Saved | None = None) -> None:
-        """Have a snapshot written; one that still waits is left out.
+    def save(self, instances: Iterable[Instance], on_saved: SavedCallback | None = None) -> None:
+        """Queues a snapshot; it replaces one that is not written yet.
 
-        `saved` is called in the thread that writes, once this snapshot or a later one is synced; never where
-        the disk refuses it.
+        `on_saved` is called in the writing thread once this snapshot or a later one is synced, and never if
+        writing fails.
         """
-        with self._changed:
-            self._newest = InstanceSnapshot(tuple(instances), True)
-            if saved is not None:
-                self._waiting.append(saved)
-                del self._waiting[:-WAITING_MOST]
-            self._changed.notify()
+        with self._condition:
+            self._pending_snapshot = InstanceSnapshot(tuple(instances), True)
+            if on_saved is not None:
+                self._waiting_callbacks.append(on_saved)
+                del self._waiting_callbacks[:-MAX_WAITING_CALLBACKS]
+            self._condition.notify()
 
     def _run(self) -> None:
         while True:
-            with self._changed:
-                while self._newest is None:
-                    self._changed.wait()
-                snapshot, self._newest = self._newest, None
-                waiting, self._waiting = self._waiting, []
+            with self._condition:
+                while self._pending_snapshot is None:
+                    self._condition.wait()
+                snapshot, self._pending_snapshot = self._pending_snapshot, None
+                callbacks, self._waiting_callbacks = self._waiting_callbacks, []
             try:
                 self._slots.write(snapshot)
             except OSError as error:
-                log.warning("instances not saved", extra={"error": str(error)})
+                log.warning("saving the worker instances failed", extra={"error": str(error)})
                 continue
-            for saved in waiting:
-                saved()
+            for on_saved in callbacks:
+                on_saved()
--- a/pebbledrift/keeper/peers.py
+++ b/pebbledrift/keeper/peers.py
@@ -1,4 +1,4 @@
-"""A keeper's connections: to the other keepers, by dialling each, and from keepers and routers."""
+"""A keeper's connections: outgoing to the other keepers, and incoming from keepers and routers."""
 
 from __future__ import annotations
 
@@ -10,104 +10,117 @@
 from pebbledrift.cluster.transport import Channel, Dialer, Hello
 from pebbledrift.overlay.messages import ROLE_KEEPER, ROLE_ROUTER
 
-Received = Callable[[str, Any], None]
+MessageCallback = Callable[[str, Any], None]
 
 
 class KeeperNetwork:
-    """Sends to keepers over connections of its own, and hears keepers and routers on theirs."""
+    """Sends to keepers over its outgoing connections; receives over incoming ones from keepers and routers.
+
+    `address` is this keeper's own address. The callbacks of keepers get the other keeper's address; those of
+    routers get the connection.
+    """
 
     def __init__(
         self,
         address: str,
         hello: Callable[[], Hello],
-        from_keeper: Received,
-        keeper_up: Callable[[str], None],
-        keeper_lost: Callable[[str], None],
+        on_keeper_message: MessageCallback,
+        on_keeper_connected: Callable[[str], None],
+        on_keeper_disconnected: Callable[[str], None],
     ) -> None:
         self.address = address
         self._hello = hello
-        self._from_keeper, self._keeper_up, self._keeper_lost = from_keeper, keeper_up, keeper_lost
+        self._on_keeper_message, self._on_keeper_connected, self._on_keeper_disconnected = (
+            on_keeper_message,
+            on_keeper_connected,
+            on_keeper_disconnected,
+        )
         self._dialers: dict[str, Dialer] = {}
         self.routers: dict[Channel, str] = {}
-        self.from_router: Callable[[Channel, Any], None] = lambda channel, message: None
-        self.router_joined: Callable[[Channel], None] = lambda channel: None
-        self.router_left: Callable[[Channel], None] = lambda channel: None
+        self.on_router_message: Callable[[Channel, Any], None] = lambda channel, message: None
+        self.on_router_connected: Callable[[Channel], None] = lambda channel: None
+        self.on_router_disconnected: Callable[[Channel], None] = lambda channel: None
 
     @property
     def router_count(self) -> int:
-        """How many routers are connected."""
+        """The number of connected routers, by name."""
         return len(set(self.routers.values()))
 
-    def follow(self, addresses: Iterable[str]) -> None:
-        """Have a connection to each of these keepers, and to no other."""
+    def connect_to(self, addresses: Iterable[str]) -> None:
+        """Keeps a connection to each of these keepers except this one, and closes all others."""
         wanted = set(addresses) - {self.address}
-        for name in [name for name in self._dialers if name not in wanted]:
-            self._dialers.pop(name).close()
-        for name in wanted - self._dialers.keys():
-            self._dialers[name] = Dialer(parse_address(name, "peer"), self._hello, _Outgoing(self))
+        for address in [address for address in self._dialers if address not in wanted]:
+            self._dialers.pop(address).close()
+        for address in wanted - self._dialers.keys():
+            self._dialers[address] = Dialer(
+                parse_address(address, "peer"), self._hello, _OutgoingListener(self)
+            )
 
     def send(self, address: str, message: Any, urgent: bool = False) -> None:
-        """Send to a keeper; lost where there is no connection."""
+        """Sends a message to a keeper; drops it if there is no connection."""
         dialer = self._dialers.get(address)
         if dialer is not None:
             dialer.send(message, urgent)
 
     def send_keepers(self, message: Any) -> int:
-        """Send to all keepers that can be reached; returns how many."""
-        up = [dialer for dialer in self._dialers.values() if dialer.channel is not None]
-        for dialer in up:
+        """Sends a message to all connected keepers; returns their number."""
+        connected = [dialer for dialer in self._dialers.values() if dialer.channel is not None]
+        for dialer in connected:
             dialer.send(message)
-        return len(up)
+        return len(connected)
 
     def send_routers(self, message: Any) -> None:
-        """Send to all routers that are connected."""
+        """Sends a message to all connected routers."""
         if self.routers:
             data = frame(message)
             for channel in list(self.routers):
                 channel.send_frame(data)
 
     def close(self) -> None:
-        """End all connections."""
+        """Closes all connections."""
         for dialer in self._dialers.values():
             dialer.close()
         for channel in list(self.routers):
             channel.abort()
 
-    # connections from others
+    # Incoming connections (the interface of transport.Listener)
 
     def opened(self, channel: Channel) -> None:
-        """Somebody has said who it is."""
+        """Handles an incoming connection once its peer has identified itself.
+
+        A keeper that connects is reachable, so the pending reconnection to it is tried at once.
+        """
         assert channel.peer is not None
         if channel.peer.role == ROLE_ROUTER:
             self.routers[channel] = channel.peer.name
-            self.router_joined(channel)
+            self.on_router_connected(channel)
         elif (dialer := self._dialers.get(channel.peer.address)) is not None:
             dialer.retry_now()
 
     def received(self, channel: Channel, message: Any) -> None:
-        """A message came on a connection that was made to us."""
+        """Handles a message on an incoming connection."""
         assert channel.peer is not None
         if channel.peer.role == ROLE_KEEPER:
-            self._from_keeper(channel.peer.address, message)
+            self._on_keeper_message(channel.peer.address, message)
         elif channel in self.routers:
-            self.from_router(channel, message)
+            self.on_router_message(channel, message)
 
     def closed(self, channel: Channel) -> None:
-        """A connection that was made to us has ended."""
+        """Handles the end of an incoming connection."""
         if self.routers.pop(channel, None) is not None:
-            self.router_left(channel)
+            self.on_router_disconnected(channel)
 
     def outgoing_opened(self, address: str) -> None:
-        """Our connection to a keeper is up."""
-        self._keeper_up(address)
+        """Handles the opening of the outgoing connection to a keeper."""
+        self._on_keeper_connected(address)
 
     def outgoing_closed(self, address: str) -> None:
-        """Our connection to a keeper has ended."""
-        self._keeper_lost(address)
+        """Handles the end of the outgoing connection to a keeper."""
+        self._on_keeper_disconnected(address)
 
 
-class _Outgoing:
-    """Listens on the connections that we made: keepers answer on their own, so only their state counts."""
+class _OutgoingListener:
+    """Tracks outgoing connections; ignores their messages, as keepers answer over their own connections."""
 
     def __init__(self, network: KeeperNetwork) -> None:
         self._network = network
--- a/pebbledrift/keeper/service.py
+++ b/pebbledrift/keeper/service.py
@@ -1,4 +1,4 @@
-"""The keeper's process: replica, disk, connections, workers and the control interface put together."""
+"""The keeper process: connects the replica, disk, network, worker tracking and the control interface."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from pebbledrift.control.registry import Instance
 from pebbledrift.keeper.disk import DiskWriter
 from pebbledrift.keeper.instance_store import InstanceStore
-from pebbledrift.keeper.lending import LendingDesk
+from pebbledrift.keeper.lending import QuotaLender
 from pebbledrift.keeper.peers import KeeperNetwork
-from pebbledrift.keeper.startup import founders, internal_address, make_replica, open_storage
-from pebbledrift.keeper.workers import WorkerDesk
+from pebbledrift.keeper.startup import founder_addresses, internal_address, make_replica, open_storage
+from pebbledrift.keeper.workers import WorkerTracker
 from pebbledrift.overlay.messages import (
     ROLE_KEEPER,
     InstanceBeats,
@@ -40,32 +40,39 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.02
-STATE_S = 0.5  # between words to the routers on where we stand
-CALL_S = 3.8  # the operator's calls: an answer that comes later is not waited for
-CONTROL_WAIT_S = 0.5  # the control interface opens once a view is agreed on, or at the latest then
-LENDERS = 2  # told to routers: the keeper that lends, and the one that would follow it
-LEAVE_LEAST_S, LEAVE_MOST_S = 0.4, 3.0  # after SIGTERM the others have so long to go on without us
+TICK_INTERVAL_S = 0.02
+STATE_INTERVAL_S = 0.5  # between state notices to the routers if nothing changes
+CALL_TIMEOUT_S = 3.8  # for an operator's call to the replica; then there is no clear answer
+MAX_CONTROL_WAIT_S = 0.5  # the control interface opens when this keeper is current, or at the latest then
+ADVERTISED_LENDERS = 2  # reported to routers: the keeper that lends, and its successor in the chain
+MIN_LEAVE_S, MAX_LEAVE_S = 0.4, 3.0  # after SIGTERM: time for the other keepers to go on without this one
 
 
 class Keeper:
-    """One keeper."""
+    """Runs one keeper in the running event loop; it implements `api.ControlBackend`.
+
+    Raises StorageError if its disk cannot be opened.
+    """
 
     def __init__(self, boot: BootSettings) -> None:
         self.boot = boot
         self.loop = asyncio.get_running_loop()
-        self.internal = (boot.ip, boot.port_range[0])
+        self.listen_address = (boot.ip, boot.port_range[0])
         self.address = internal_address(boot)
         self.incarnation = secrets.randbits(53)
         opened = open_storage(boot.data_dir)
         self.storage = opened.storage
         self.replica = make_replica(boot, self.incarnation, opened, self.loop.time())
         self.network = KeeperNetwork(
-            self.address, self._hello, self._from_keeper, self._keeper_up, self._keeper_lost
+            self.address,
+            self._hello,
+            self._on_keeper_message,
+            self._on_keeper_connected,
+            self._on_keeper_disconnected,
         )
-        self.network.from_router = self._from_router
-        self.network.router_joined = self._router_joined
-        self.network.router_left = self._router_left
+        self.network.on_router_message = self._on_router_message
+        self.network.on_router_connected = self._on_router_connected
+        self.network.on_router_disconnected = self._on_router_disconnected
         children = children_for(boot.link_mbps)
         self.relays = RelayRoot(
             self.address,
@@ -77,7 +84,7 @@
         )
         self._gossip: GossipService | None = None
         store = InstanceStore(self.storage.folder) if self.storage is not None else None
-        self.workers = WorkerDesk(
+        self.workers = WorkerTracker(
             self.network,
             boot.heartbeat_ms / 1000,
             store,
@@ -85,79 +92,89 @@
             self.replica.is_quorum,
             self.incarnation,
         )
-        self.lending = LendingDesk(QuotaWindow(boot.bounds.quota_window_s, boot.bounds.quota_overshoot))
-        self._reports: dict[Channel, RouterReport] = {}  # the last of each connection
-        self._state_at = 0.0
-        self._told: tuple[Any, ...] = ()
+        self.lending = QuotaLender(QuotaWindow(boot.bounds.quota_window_s, boot.bounds.quota_overshoot))
+        self._router_reports: dict[Channel, RouterReport] = {}  # the last report of each connection
+        self._next_state_at = 0.0
+        self._last_summary: tuple[Any, ...] = ()
         self.replica.on_commit = self._on_commit
-        self.disk = DiskWriter(self.storage, self._synced) if self.storage is not None else None
+        self.disk = DiskWriter(self.storage, self._on_synced) if self.storage is not None else None
         self._stopping = asyncio.Event()
-        self._settled = threading.Event()
-        self._opening: asyncio.Task[None] | None = None
+        self._became_current = threading.Event()
+        self._gossip_task: asyncio.Task[None] | None = None
 
-    # start
+    # Start and stop
 
     def _hello(self) -> Hello:
         return Hello(ROLE_KEEPER, self.boot.name, self.address, self.boot.zone, self.incarnation)
 
     async def run(self) -> None:
-        """Serve until SIGTERM."""
+        """Serves until SIGTERM or SIGINT, then leaves the cluster in an orderly way."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self._stopping.set)
         self.loop.add_signal_handler(signal.SIGHUP, lambda: None)
         hold_sighup(False)
-        server = await serve(self.internal, self.network)
-        ticking = self.loop.create_task(self._tick())
+        server = await serve(self.listen_address, self.network)
+        tick_task = self.loop.create_task(self._tick())
         threading.Thread(target=self._serve_control, name="control", daemon=True).start()
         log.info("serving", extra={"replica": self.replica.settings.node})
         await self._stopping.wait()
         log.info("leaving")
-        await self._hand_over()
+        await self._wait_until_replaceable()
         hold_sighup(True)
-        ticking.cancel()
+        tick_task.cancel()
         server.close()
         self.network.close()
 
-    async def _hand_over(self) -> None:
-        """Let the others go on without us: enough of their disks must hold all before we may be gone."""
+    async def _wait_until_replaceable(self) -> None:
+        """Waits until the other keepers can go on without this one, at most MAX_LEAVE_S.
+
+        Before this keeper may stop, enough of their disks must hold all acknowledged state.
+        """
         self.replica.leaving = True
-        begun = self.loop.time()
-        await asyncio.sleep(LEAVE_LEAST_S)
-        while not self.replica.may_leave and self.loop.time() - begun < LEAVE_MOST_S:
-            await asyncio.sleep(TICK_S)
+        started_at = self.loop.time()
+        await asyncio.sleep(MIN_LEAVE_S)
+        while not self.replica.may_leave and self.loop.time() - started_at < MAX_LEAVE_S:
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _serve_control(self) -> None:
-        """The control interface, in threads of its own. It waits for what routers need first."""
-        self._settled.wait(CONTROL_WAIT_S)
+        """Starts the control interface in separate threads.
+
+        It starts late, because routers need the rest of the keeper first.
+        """
+        self._became_current.wait(MAX_CONTROL_WAIT_S)
         from pebbledrift.keeper.api import ControlApi, make_server
 
         make_server(self.boot.address_of("control"), ControlApi(self, self.loop)).safe_start()
 
-    # the loop
+    # Event loop
 
     async def _tick(self) -> None:
         while True:
             now = self.loop.time()
             self.replica.tick(now)
             self.workers.tick(now)
-            self.network.follow(self.replica.peers.addresses)
+            self.network.connect_to(self.replica.peers.addresses)
             if self._gossip is not None:
                 self._gossip.gossip.tick(now)
-            self._tell_state(now)
-            self._flush()
-            if self.disk is not None and self.replica.agreement.view is not None and self.disk.wants_image():
-                self.disk.put_image(self.replica.image())
-            await asyncio.sleep(TICK_S)
-
-    def _flush(self) -> None:
-        """Carry out what the replica wants done."""
+            self._send_state(now)
+            self._drain_outbox()
+            if (
+                self.disk is not None
+                and self.replica.agreement.view is not None
+                and self.disk.should_write_image()
+            ):
+                self.disk.enqueue_image(self.replica.image())
+            await asyncio.sleep(TICK_INTERVAL_S)
+
+    def _drain_outbox(self) -> None:
+        """Carries out the writes and sends in the replica's outbox until it is empty."""
         outbox = self.replica.outbox
         while outbox.writes or outbox.envelopes:
             for write in outbox.take_writes():
                 if self.disk is not None:
-                    self.disk.put(write)
+                    self.disk.enqueue_write(write)
                 else:
-                    self.loop.call_soon(self._synced, write.number)
+                    self.loop.call_soon(self._on_synced, write.number)
             for envelope in outbox.take_envelopes():
                 if envelope.address == self.address:
                     self.replica.receive(self.address, envelope.message, self.loop.time())
@@ -165,152 +182,154 @@
                     urgent = isinstance(envelope.message, URGENT)
                     self.network.send(envelope.address, envelope.message, urgent)
 
-    def _synced(self, number: int) -> None:
+    def _on_synced(self, number: int) -> None:
         self.replica.synced(number, self.loop.time())
-        self._flush()
+        self._drain_outbox()
 
-    def _from_keeper(self, sender: str, message: Any) -> None:
+    def _on_keeper_message(self, sender: str, message: Any) -> None:
         now = self.loop.time()
         if self.replica.receive(sender, message, now):
-            self._flush()
+            self._drain_outbox()
             return
         if isinstance(message, InstanceBeats):
-            self.lending.note_routers(message.routers, now)
-        self.workers.from_keeper(sender, message)
+            self.lending.note_router_count(message.routers, now)
+        self.workers.on_keeper_message(sender, message)
 
-    def _keeper_up(self, address: str) -> None:
+    def _on_keeper_connected(self, address: str) -> None:
         self.replica.connection_opened(address, self.loop.time())
-        self._flush()
+        self._drain_outbox()
         self.network.send(address, self.workers.snapshot())
 
-    def _keeper_lost(self, address: str) -> None:
+    def _on_keeper_disconnected(self, address: str) -> None:
         self.replica.connection_lost(address)
 
-    # routers
+    # Routers
 
-    def _router_joined(self, channel: Channel) -> None:
-        channel.send(self.relays.notice(self._state(self.loop.time())))
+    def _on_router_connected(self, channel: Channel) -> None:
+        channel.send(self.relays.notice(self._keeper_state(self.loop.time())))
 
     def _snapshot(self) -> InstanceSnapshot:
         return self.workers.snapshot()
 
-    def _router_left(self, channel: Channel) -> None:
+    def _on_router_disconnected(self, channel: Channel) -> None:
         self.relays.publisher.drop(channel)
-        self._reports.pop(channel, None)
+        self._router_reports.pop(channel, None)
 
-    def _from_router(self, channel: Channel, message: Any) -> None:
+    def _on_router_message(self, channel: Channel, message: Any) -> None:
         if self.relays.received(channel, channel.address, message):
             return
         if isinstance(message, TokenRequest):
             now = self.loop.time()
-            channel.send(self.lending.lend(message, self.acting(now), now))
+            channel.send(self.lending.lend(message, self.is_active_head(now), now))
         elif isinstance(message, TokenReport):
             name = self.network.routers[channel]
-            self.lending.take_report(name, message, self.network.router_count, self.loop.time())
+            self.lending.add_report(name, message, self.network.router_count, self.loop.time())
         elif isinstance(message, RouterReport):
-            self._reports[channel] = message
+            self._router_reports[channel] = message
 
     def router_revisions(self) -> dict[str, int]:
-        """By name of each router that reports here: the configuration in force there, 0 for none."""
-        found: dict[str, int] = {}
-        for channel, report in self._reports.items():
+        """Returns the configuration revision in force at each reporting router, by its name; 0 for none."""
+        revisions: dict[str, int] = {}
+        for channel, report in self._router_reports.items():
             name = self.network.routers.get(channel)
             if name is not None:
-                found[name] = max(found.get(name, 0), report.revision)
-        return dict(sorted(found.items()))
+                revisions[name] = max(revisions.get(name, 0), report.revision)
+        return dict(sorted(revisions.items()))
 
-    def _running(self) -> tuple[tuple[str, float], ...]:
-        """By service, what runs at all routers that are connected."""
+    def _running_requests(self) -> tuple[tuple[str, float], ...]:
+        """Returns by service the requests with short prompts that run at all connected routers."""
         total: dict[str, float] = {}
-        for report in self._reports.values():
+        for report in self._router_reports.values():
             for name, running in report.running:
                 total[name] = total.get(name, 0.0) + running
         return tuple(total.items())
 
-    def _state(self, now: float) -> KeeperState:
+    def _keeper_state(self, now: float) -> KeeperState:
         view = self.replica.agreement.view
         chain = view.chain_nodes if view is not None else []
         keepers = {address_of(p.heartbeat.node): p.heartbeat.zone for p in self.replica.peers.living(now)}
         keepers[self.address] = self.boot.zone
         return KeeperState(
             self.replica.link.epoch,
-            tuple(map(address_of, chain[:LENDERS])),
+            tuple(map(address_of, chain[:ADVERTISED_LENDERS])),
             self.replica.current(now),
             self.replica.log.committed,
             self.workers.complete,
             tuple(sorted(keepers.items())),
             self.network.router_count,
-            self._running(),
+            self._running_requests(),
         )
 
-    def _tell_state(self, now: float) -> None:
-        state = self._state(now)
-        news = (state.epoch, state.lenders, state.current, state.committed, state.complete, state.keepers)
-        if news == self._told and now < self._state_at:
+    def _send_state(self, now: float) -> None:
+        """Sends this keeper's state to the routers when it changes, else once per STATE_INTERVAL_S."""
+        state = self._keeper_state(now)
+        summary = (state.epoch, state.lenders, state.current, state.committed, state.complete, state.keepers)
+        if summary == self._last_summary and now < self._next_state_at:
             return
-        if state.current and not self._settled.is_set():
-            self._settled.set()
-            self._opening = self.loop.create_task(self._open_gossip())
-        if self._told[:3] != news[:3]:
+        if state.current and not self._became_current.is_set():
+            self._became_current.set()
+            self._gossip_task = self.loop.create_task(self._open_gossip())
+        if self._last_summary[:3] != summary[:3]:
             log.info("standing", extra={"epoch": state.epoch, "head": state.head, "current": state.current})
-        self._told, self._state_at = news, now + STATE_S
+        self._last_summary, self._next_state_at = summary, now + STATE_INTERVAL_S
         self.network.send_routers(self.relays.notice(state))
 
     def _on_commit(self, entries: list[Entry]) -> None:
         now, link = self.loop.time(), self.replica.link
-        self.lending.follow(link.epoch, link.is_head, self.replica.log.state.config, now)
-        self._state_at = 0.0
-        self._tell_state(now)
+        self.lending.on_commit(link.epoch, link.is_head, self.replica.log.state.config, now)
+        self._next_state_at = 0.0
+        self._send_state(now)
 
-    def acting(self, now: float) -> bool:
-        """Whether this is the head of a chain that a majority goes on with."""
+    def is_active_head(self, now: float) -> bool:
+        """Whether this keeper is the head of a chain that a majority of the keepers confirms."""
         return self.replica.link.is_head and self.replica.established and self.replica.current(now)
 
     async def _open_gossip(self) -> None:
-        """Take part in gossip: nobody waits for it at a start."""
+        """Joins the gossip; runs in the background, so that the start of the keeper does not wait for it."""
         from pebbledrift.overlay.endpoint import open_gossip
         from pebbledrift.overlay.sampling import PeerDescriptor
 
         own = PeerDescriptor(self.address, self.boot.zone, True, 0)
-        others = [address for address in founders(self.boot) if address != self.address]
+        others = [address for address in founder_addresses(self.boot) if address != self.address]
         contacts = [PeerDescriptor(address, "", True, 0) for address in others]
-        service = self._gossip = await open_gossip(self.internal, own, contacts, self.workers.merge)
+        service = self._gossip = await open_gossip(self.listen_address, own, contacts, self.workers.merge)
         if service is not None:
             self.relays.spread = service.gossip.spread
             self.relays.relays = lambda: list(service.relays().items())
 
-    # the control interface
+    # Control interface (see api.ControlBackend)
 
-    async def order(self, order: Order) -> Judgement | None:
-        """Carry an order out; None where there is no clear answer."""
+    async def submit_order(self, order: Order) -> Judgement | None:
+        """Carries out an operator's order; returns None if its outcome is unknown."""
         return await self._call(order)
 
-    async def read(self) -> dict[str, Any] | None:
-        """The newest configuration; None where that cannot be told."""
-        answered = await self._call(None)
-        return self.replica.log.state.config if answered is not None else None
+    async def read_config(self) -> dict[str, Any] | None:
+        """Returns the newest configuration; None if this keeper cannot confirm that it has it."""
+        judgement = await self._call(None)
+        return self.replica.log.state.config if judgement is not None else None
 
     async def _call(self, order: Order | None) -> Judgement | None:
+        """Passes an order, or a read if it is None, to the replica; None if there is no clear answer."""
         done: asyncio.Future[Judgement | None] = self.loop.create_future()
 
         def finish(judgement: Judgement | None) -> None:
             if not done.done():
                 done.set_result(judgement)
 
-        self.replica.call(order, self.loop.time(), CALL_S, finish)
-        self._flush()
+        self.replica.call(order, self.loop.time(), CALL_TIMEOUT_S, finish)
+        self._drain_outbox()
         return await done
 
     async def heartbeat(self, instance: Instance) -> bool:
-        """Take a worker's heartbeat in."""
+        """Processes a worker's heartbeat; returns whether it may be acknowledged."""
         return await self.workers.heartbeat(instance)
 
     async def deregister(self, instance: str) -> bool:
-        """A worker's instance has ended; returns whether that may be acknowledged."""
+        """Marks a worker's instance as gone; returns whether that may be acknowledged."""
         return await self.workers.deregister(instance)
 
     async def status(self) -> dict[str, Any]:
-        """What an operator wants to see of this keeper."""
+        """Returns this keeper's status for operators."""
         from pebbledrift.keeper.status import status_of
 
         return status_of(self, self.loop.time())
--- a/pebbledrift/keeper/startup.py
+++ b/pebbledrift/keeper/startup.py
@@ -1,4 +1,4 @@
-"""What a keeper begins with: its disk, and the replica that was recovered from it or is made anew."""
+"""Startup of a keeper: opens its disk, and recovers the replica from it or creates a new one."""
 
 from __future__ import annotations
 
@@ -20,45 +20,48 @@
 
 
 def _check(config: object) -> None:
-    """Check an operator's configuration. The checker is large: a start does not wait for its import."""
+    """Validates an operator's configuration. The large schema module is imported late, to start faster."""
     from pebbledrift.control.schema import check
 
     check(config)
 
 
 def internal_address(boot: BootSettings) -> str:
-    """Where the other processes of the fleet reach this keeper."""
+    """Returns the address (host:port) where the other processes of the fleet reach this keeper."""
     return format_address((boot.ip, boot.port_range[0]))
 
 
-def founders(boot: BootSettings) -> list[str]:
-    """The keepers that the seeds name; on the very first start they found the cluster."""
+def founder_addresses(boot: BootSettings) -> list[str]:
+    """Returns the addresses of the seed keepers, which create the cluster on its first start."""
     return [format_address((host, boot.port_range[0])) for host, _ in boot.seeds]
 
 
 class OpenedDisk(NamedTuple):
-    """A keeper's disk as its process finds it."""
+    """A keeper's storage, if it has a disk, and the state recovered from it."""
 
     storage: Storage | None
     recovered: Recovered
-    was_empty: bool  # nothing was ever written there; what cannot be read counts as lost instead
+    was_empty: bool  # nothing was ever written; an unreadable disk counts as lost, not as empty
 
 
 def open_storage(data_dir: Path | None) -> OpenedDisk:
-    """The disk and what is on it; nothing where there is no disk."""
+    """Opens the storage in a data directory; None stands for a keeper without a disk."""
     if data_dir is None:
         return OpenedDisk(None, Recovered(), False)
     return open_disk(Storage(data_dir / "keeper"))
 
 
 def open_disk(storage: Storage) -> OpenedDisk:
-    """Read a disk; one that cannot be read is emptied."""
+    """Recovers the state from a disk; the contents of an unreadable disk are discarded.
+
+    Raises StorageError if the emptied disk cannot be opened either.
+    """
     try:
         was_empty = storage.is_empty()
         recovered = storage.open()
     except StorageError as error:
-        # what cannot be read is not guessed: the disk counts as lost, and the others tell us all again
-        log.error("state is not readable: begun anew", extra={"error": str(error)})
+        # Unreadable state is never guessed: the disk counts as lost; the other keepers send the state again.
+        log.error("stored state is unreadable: discarded, starting empty", extra={"error": str(error)})
         storage.close()
         storage.discard()
         return OpenedDisk(storage, storage.open(), False)
@@ -66,13 +69,16 @@
 
 
 def make_replica(boot: BootSettings, incarnation: int, disk: OpenedDisk, now: float) -> Replica:
-    """The replica of this process; one without an identity gets one, and may found the cluster.
+    """Creates the replica of this process; without a stored identity it gets a new one.
 
-    Only a disk that held nothing founds: one that cannot be read may have been promised on, whatever the
-    settings say of the cluster's first start.
+    Only a keeper whose disk was empty may be a founder of the cluster. An unreadable disk may have held
+    promises to other replicas, so it never makes a founder, even if the settings say that this is the
+    cluster's first start.
     """
     address = internal_address(boot)
-    identity = take_identity(disk, address, founders(boot) if boot.bootstrap else [], secrets.token_hex(6))
+    identity = load_or_create_identity(
+        disk, address, founder_addresses(boot) if boot.bootstrap else [], secrets.token_hex(6)
+    )
     settings = ReplicaSettings(
         address=address,
         control=format_address(boot.address_of("control")),
@@ -81,7 +87,7 @@
         incarnation=incarnation,
         eligible=boot.data_dir is not None and boot.counts_for_quorum,
         tolerated=boot.tolerated_machines,
-        contacts=tuple(founders(boot)),
+        contacts=tuple(founder_addresses(boot)),
         seed=incarnation,
         catch_up_s=boot.bounds.catch_up_s,
     )
@@ -91,21 +97,28 @@
     return replica
 
 
-class TakenIdentity(NamedTuple):
-    """The replica that a process is, and what has to be on its disk before anything else."""
+class ReplicaIdentity(NamedTuple):
+    """A replica's node name, and the records that must be written to its disk before all others."""
 
     node: str
     records: tuple[Record, ...]
 
 
-def take_identity(disk: OpenedDisk, address: str, founding: Sequence[str], generation: str) -> TakenIdentity:
-    """The replica whose disk this is; on a disk without one a new one, which may be among the founders."""
+def load_or_create_identity(
+    disk: OpenedDisk, address: str, founders: Sequence[str], generation: str
+) -> ReplicaIdentity:
+    """Returns the identity stored on a disk, or creates a new one.
+
+    A new identity on a disk that was empty is a founder if `address` is among `founders`; it then also gets
+    the founding view. Otherwise its node name carries `generation`. The new identity is set in
+    `disk.recovered`.
+    """
     recovered = disk.recovered
     if recovered.node is not None:
-        return TakenIdentity(recovered.node, ())
-    founds = disk.was_empty and address in founding
-    recovered.node = node_name(address, FOUNDER if founds else generation)
-    if not founds:
-        return TakenIdentity(recovered.node, (Identity(recovered.node),))
-    view = recovered.stored.view = founding_view(founding)
-    return TakenIdentity(recovered.node, (Identity(recovered.node), view))
+        return ReplicaIdentity(recovered.node, ())
+    is_founder = disk.was_empty and address in founders
+    recovered.node = node_name(address, FOUNDER if is_founder else generation)
+    if not is_founder:
+        return ReplicaIdentity(recovered.node, (Identity(recovered.node),))
+    view = recovered.stored.view = founding_view(founders)
+    return ReplicaIdentity(recovered.node, (Identity(recovered.node), view))
--- a/pebbledrift/keeper/status.py
+++ b/pebbledrift/keeper/status.py
@@ -1,4 +1,4 @@
-"""What a keeper tells an operator about itself."""
+"""The status that a keeper reports to operators."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from pebbledrift.chain.replica import Replica
 from pebbledrift.cluster.boot import BootSettings
 from pebbledrift.control.registry import Instance, InstanceState
-from pebbledrift.keeper.lending import LendingDesk
+from pebbledrift.keeper.lending import QuotaLender
 from pebbledrift.keeper.peers import KeeperNetwork
-from pebbledrift.keeper.workers import WorkerDesk
+from pebbledrift.keeper.workers import WorkerTracker
 from pebbledrift.overlay.root import RelayRoot
 
 
 class StatusSource(Protocol):
-    """The keeper that is asked."""
+    """The parts of a keeper from which its status is read."""
 
     boot: BootSettings
     replica: Replica
     network: KeeperNetwork
     relays: RelayRoot
-    workers: WorkerDesk
-    lending: LendingDesk
+    workers: WorkerTracker
+    lending: QuotaLender
 
     def router_revisions(self) -> dict[str, int]:
-        """By name of each router that reports here: the configuration in force there, 0 for none."""
+        """Returns the configuration revision in force at each reporting router, by its name; 0 for none."""
 
-    def acting(self, now: float) -> bool:
-        """Whether this is the head of a chain that a majority goes on with."""
+    def is_active_head(self, now: float) -> bool:
+        """Whether this keeper is the head of a chain that a majority of the keepers confirms."""
 
 
 def status_of(keeper: StatusSource, now: float) -> dict[str, Any]:
-    """The answer to GET /-/status; its fields are described in docs/operations/fleet.md."""
+    """Returns the answer to GET /-/status; docs/operations/fleet.md describes its fields."""
     replica = keeper.replica
     view = replica.agreement.view
     return {
@@ -50,7 +50,7 @@
         "routers": keeper.router_revisions(),
         "children": len(keeper.relays.publisher),
         "instances": {i.id: _instance(i) for i in keeper.workers.registry.instances.values()},
-        "quotas": keeper.lending.status(now) if keeper.acting(now) else {},
+        "quotas": keeper.lending.status(now) if keeper.is_active_head(now) else {},
     }
 
 
--- a/pebbledrift/keeper/workers.py
+++ b/pebbledrift/keeper/workers.py
@@ -1,4 +1,4 @@
-"""Workers at one keeper: their heartbeats, and what others have to hear before one is acknowledged."""
+"""Worker heartbeats at one keeper, and what must be replicated before a heartbeat is acknowledged."""
 
 from __future__ import annotations
 
@@ -18,24 +18,29 @@
     NumberedNews,
 )
 
-CONFIRM_S = 0.8  # a majority of the keepers has so long to confirm that a worker leaves
-CONFIRM_AGAIN_S = 0.2  # those that have not are told again
-CONFIRMED_MOST = 4096  # ends of instances that are known to be confirmed
-BEATS_S = 1.0
+CONFIRM_TIMEOUT_S = 0.8  # time for a majority of the keepers to confirm that a worker leaves
+CONFIRM_RETRY_S = 0.2  # interval at which the message is sent again until it is confirmed
+MAX_CONFIRMED = 4096  # remembered confirmations of leaving instances; the oldest is dropped first
+HEARTBEAT_REPORT_INTERVAL_S = 1.0
 FORGET_AFTER_S = 60.0
-COMPLETE_AFTER_BEATS = 1.4  # by then every worker that reports has reported to somebody
+# In heartbeat intervals: by then each worker that sends heartbeats has sent one to some keeper.
+COMPLETE_AFTER_HEARTBEATS = 1.4
 
 
 @dataclass(slots=True)
 class _Confirmation:
-    """News of a worker that leaves, and the keepers that have it on their disks."""
+    """A leaving worker's state change, and the addresses of the keepers that have it on disk."""
 
     done: asyncio.Future[None]
     addresses: set[str] = field(default_factory=set)
 
 
-class WorkerDesk:
-    """Takes heartbeats in and passes on what is new."""
+class WorkerTracker:
+    """Processes worker heartbeats and passes changes on to the routers and the other keepers.
+
+    `heartbeat_s` is the interval at which workers send heartbeats, in seconds. `publish` sends changed
+    instances to the routers; `reaches_quorum` returns whether keeper addresses form a majority.
+    """
 
     def __init__(
         self,
@@ -49,92 +54,101 @@
         self.registry = Registry()
         self._network, self._publish = network, publish
         self._store = store
-        self._changed = False
+        self._has_unsaved_changes = False
         self._loop = asyncio.get_running_loop()
-        self._complete_at = self._loop.time() + COMPLETE_AFTER_BEATS * heartbeat_s
+        self._complete_at = self._loop.time() + COMPLETE_AFTER_HEARTBEATS * heartbeat_s
         self._complete = False
-        self._beats: dict[str, int] = {}
-        self._beats_at = self._loop.time()
+        self._heartbeat_sequences: dict[str, int] = {}
+        self._next_report_at = self._loop.time()
         self._reaches_quorum = reaches_quorum
         self._incarnation = incarnation
-        self._number = 0
+        self._last_number = 0
         self._unconfirmed: dict[int, _Confirmation] = {}
-        self._confirmed: dict[tuple[str, int], None] = {}  # id and state: a majority has it on its disks
+        self._confirmed: dict[tuple[str, int], None] = {}  # id and state that a majority has on disk
         if store is not None:
-            self._recall(store.load())
+            self._restore_instances(store.load())
 
-    def _recall(self, instances: tuple[Instance, ...]) -> None:
-        """Begin with the instances that were known before a restart."""
+    def _restore_instances(self, instances: tuple[Instance, ...]) -> None:
+        """Restores the instances that were known before a restart."""
         for instance in instances:
             self.registry.merge(instance, self._loop.time())
         self._complete = bool(self.registry.instances)
 
     @property
     def complete(self) -> bool:
-        """Whether all workers that report anywhere are known here."""
+        """Whether every worker that sends heartbeats to any keeper is known here."""
         self._complete = self._complete or self._loop.time() >= self._complete_at
         return self._complete
 
-    async def heartbeat(self, told: Instance) -> bool:
-        """Take a heartbeat in; returns whether it may be acknowledged: not where there is no room for it."""
-        if self.registry.is_gone(told.id):
-            return await self._confirm(gone(told.id))
-        news = self.registry.merge(told, self._loop.time())
-        known = self.registry.instances.get(told.id)
-        if known is None:
+    async def heartbeat(self, reported: Instance) -> bool:
+        """Processes a heartbeat; returns whether it may be acknowledged.
+
+        A heartbeat is not acknowledged if the registry is full, or if the instance is draining or gone and
+        no majority of the keepers confirms that in time.
+        """
+        if self.registry.is_gone(reported.id):
+            return await self._confirm(gone(reported.id))
+        change = self.registry.merge(reported, self._loop.time())
+        registered = self.registry.instances.get(reported.id)
+        if registered is None:
             return False
-        self._beats[told.id] = told.sequence
-        if news is not None:
-            self._tell(news)
-        return known.state == InstanceState.READY or await self._confirm(known)
+        self._heartbeat_sequences[reported.id] = reported.sequence
+        if change is not None:
+            self._announce(change)
+        return registered.state == InstanceState.READY or await self._confirm(registered)
 
     async def deregister(self, instance: str) -> bool:
-        """An instance has ended; returns whether that may be acknowledged."""
+        """Marks an instance as gone, by id; returns whether that may be acknowledged."""
         ended = gone(instance)
-        news = self.registry.merge(ended, self._loop.time())
-        if news is not None:
-            self._tell(news)
+        change = self.registry.merge(ended, self._loop.time())
+        if change is not None:
+            self._announce(change)
         return await self._confirm(ended)
 
-    def _tell(self, news: Instance) -> None:
-        """Tell routers and keepers."""
-        self._changed = True
-        self._publish((news,))
-        if news.state == InstanceState.READY:
-            self._network.send_keepers(InstanceNews((news,)))
+    def _announce(self, change: Instance) -> None:
+        """Sends a changed instance to the routers, and a ready one to the other keepers.
+
+        Other states reach the keepers as the numbered messages of `_confirm`.
+        """
+        self._has_unsaved_changes = True
+        self._publish((change,))
+        if change.state == InstanceState.READY:
+            self._network.send_keepers(InstanceNews((change,)))
 
     async def _confirm(self, leaving: Instance) -> bool:
-        """Whether a majority of the keepers knows within CONFIRM_S that an instance leaves, on their disks.
+        """Returns whether a majority of the keepers has a leaving instance on disk within CONFIRM_TIMEOUT_S.
 
-        Every router that is in touch hears one of any majority. Who cannot reach one must not acknowledge:
-        the worker asks another keeper then, and says `draining` again.
+        Every connected router receives the state from at least one keeper of any majority. A keeper that
+        reaches no majority must not acknowledge: the worker then sends `draining` again, to another keeper.
         """
         key = leaving.id, leaving.state
         if key in self._confirmed:
             return True
-        self._number += 1
-        number = self._number
+        self._last_number += 1
+        number = self._last_number
         confirmation = self._unconfirmed[number] = _Confirmation(self._loop.create_future())
-        self._save(lambda: self._confirmed_by(number, self._network.address))
+        self._save_then(lambda: self._record_confirmation(number, self._network.address))
         try:
-            async with asyncio.timeout(CONFIRM_S):
-                await self._until_confirmed(NumberedNews(number, self._incarnation, (leaving,)), confirmation)
+            async with asyncio.timeout(CONFIRM_TIMEOUT_S):
+                await self._resend_until_confirmed(
+                    NumberedNews(number, self._incarnation, (leaving,)), confirmation
+                )
         except TimeoutError:
             return False
         finally:
             del self._unconfirmed[number]
         self._confirmed[key] = None
-        while len(self._confirmed) > CONFIRMED_MOST:
+        while len(self._confirmed) > MAX_CONFIRMED:
             del self._confirmed[next(iter(self._confirmed))]
         return True
 
-    async def _until_confirmed(self, news: NumberedNews, confirmation: _Confirmation) -> None:
+    async def _resend_until_confirmed(self, message: NumberedNews, confirmation: _Confirmation) -> None:
         while not confirmation.done.done():
-            self._network.send_keepers(news)
-            await asyncio.wait((confirmation.done,), timeout=CONFIRM_AGAIN_S)
+            self._network.send_keepers(message)
+            await asyncio.wait((confirmation.done,), timeout=CONFIRM_RETRY_S)
 
-    def _confirmed_by(self, number: int, address: str) -> None:
-        """A keeper has the news of this number on its disk."""
+    def _record_confirmation(self, number: int, address: str) -> None:
+        """Records that the keeper at an address has the message of this number on disk."""
         confirmation = self._unconfirmed.get(number)
         if confirmation is None or confirmation.done.done():
             return
@@ -142,63 +156,72 @@
         if self._reaches_quorum(confirmation.addresses):
             confirmation.done.set_result(None)
 
-    def _save(self, saved: Callable[[], None]) -> None:
-        """Go on, on the loop, once all that is known is on the disk; a keeper without a disk has no vote."""
+    def _save_then(self, on_saved: Callable[[], None]) -> None:
+        """Saves the registry and then calls `on_saved` on the event loop.
+
+        Does nothing on a keeper without a disk, since that keeper has no vote.
+        """
         if self._store is None:
             return
-        self._changed = False
+        self._has_unsaved_changes = False
 
         def on_loop() -> None:
-            with contextlib.suppress(RuntimeError):  # the loop has ended
-                self._loop.call_soon_threadsafe(saved)
+            with contextlib.suppress(RuntimeError):  # the event loop is closed
+                self._loop.call_soon_threadsafe(on_saved)
 
         self._store.save(self.registry.snapshot(), on_loop)
 
-    def from_keeper(self, sender: str, message: object) -> None:
-        """What another keeper tells of workers."""
+    def on_keeper_message(self, sender: str, message: object) -> None:
+        """Processes another keeper's message about workers; `sender` is its address."""
         if isinstance(message, NumberedNews):
             self.merge(message.instances)
-            received = NewsReceived(message.number, message.asker)
-            self._save(lambda: self._network.send(sender, received))
+            acknowledgement = NewsReceived(message.number, message.asker)
+            self._save_then(lambda: self._network.send(sender, acknowledgement))
         elif isinstance(message, NewsReceived):
             if message.asker == self._incarnation:
-                self._confirmed_by(message.number, sender)
+                self._record_confirmation(message.number, sender)
         elif isinstance(message, InstanceNews):
             self.merge(message.instances)
         elif isinstance(message, InstanceSnapshot):
             self.merge(message.instances)
             self._complete = self._complete or message.complete
         elif isinstance(message, InstanceBeats):
-            self._heard_elsewhere(message)
+            self._apply_remote_heartbeats(message)
 
-    def _heard_elsewhere(self, message: InstanceBeats) -> None:
+    def _apply_remote_heartbeats(self, message: InstanceBeats) -> None:
+        """Marks instances as alive whose heartbeats another keeper received."""
         now = self._loop.time()
         for instance, sequence in message.heard:
-            known = self.registry.instances.get(instance)
-            if known is not None and sequence >= known.sequence:
+            registered = self.registry.instances.get(instance)
+            if registered is not None and sequence >= registered.sequence:
                 self.registry.heard[instance] = now
 
     def merge(self, instances: tuple[Instance, ...]) -> None:
-        """Take in what others tell, and pass on what is new."""
+        """Merges instances received from elsewhere, and publishes those that changed."""
         now = self._loop.time()
         merged = [self.registry.merge(instance, now) for instance in instances]
-        news = tuple(instance for instance in merged if instance is not None)
-        if news:
-            self._changed = True
-            self._publish(news)
+        changes = tuple(instance for instance in merged if instance is not None)
+        if changes:
+            self._has_unsaved_changes = True
+            self._publish(changes)
 
     def snapshot(self) -> InstanceSnapshot:
-        """All that is known, for a router or keeper that connects."""
+        """Returns all known instances, for a router or keeper that connects."""
         return InstanceSnapshot(tuple(self.registry.snapshot()), self.complete)
 
     def tick(self, now: float) -> None:
-        """Tell the keepers who was heard, and forget whom nobody has heard for long."""
-        if now < self._beats_at:
+        """Reports received heartbeats to the keepers once per HEARTBEAT_REPORT_INTERVAL_S.
+
+        Also saves unsaved changes, and ends instances that sent no heartbeat for FORGET_AFTER_S.
+        """
+        if now < self._next_report_at:
             return
-        self._beats_at = now + BEATS_S
-        self._network.send_keepers(InstanceBeats(tuple(self._beats.items()), self._network.router_count))
-        self._beats = {}
-        if self._changed and self._store is not None:
-            self._changed = False
+        self._next_report_at = now + HEARTBEAT_REPORT_INTERVAL_S
+        self._network.send_keepers(
+            InstanceBeats(tuple(self._heartbeat_sequences.items()), self._network.router_count)
+        )
+        self._heartbeat_sequences = {}
+        if self._has_unsaved_changes and self._store is not None:
+            self._has_unsaved_changes = False
             self._store.save(self.registry.snapshot())
         self.registry.forget(self.registry.silent(now, FORGET_AFTER_S))
--- a/tests/cluster/mutations.py
+++ b/tests/cluster/mutations.py
@@ -322,8 +322,8 @@
     Mutation(
         "only an empty disk founds",
         "pebbledrift/keeper/startup.py",
-        "founds = disk.was_empty and address in founding",
-        "founds = address in founding",
+        "is_founder = disk.was_empty and address in founders",
+        "is_founder = address in founders",
         "tests/cluster/test_storage.py",
         "founds",
     ),
@@ -353,8 +353,8 @@
     Mutation(
         "a drain is on the disk before it counts",
         "pebbledrift/keeper/workers.py",
-        "            self._save(lambda: self._network.send(sender, received))",
-        "            self._network.send(sender, received)",
+        "            self._save_then(lambda: self._network.send(sender, acknowledgement))",
+        "            self._network.send(sender, acknowledgement)",
         "tests/cluster/test_workers.py",
     ),
     Mutation(
--- a/tests/cluster/simulation.py
+++ b/tests/cluster/simulation.py
@@ -19,7 +19,7 @@
 from pebbledrift.cluster import codec
 from pebbledrift.cluster.errors import StorageError
 from pebbledrift.control.orders import Judgement, Order, OrderKind, Verdict
-from pebbledrift.keeper.startup import OpenedDisk, open_disk, take_identity
+from pebbledrift.keeper.startup import OpenedDisk, load_or_create_identity, open_disk
 from tests.cluster.simulated_disk import PowerLost, SimulatedFiles
 from tests.cluster.simulated_network import Network
 
@@ -138,7 +138,7 @@
         self._incarnation += 1
         opened = self._open(address)
         founding = self.seeds if founder else ()
-        identity = take_identity(opened, address, founding, f"g{self._incarnation}")
+        identity = load_or_create_identity(opened, address, founding, f"g{self._incarnation}")
         settings = ReplicaSettings(
             address=address,
             control=address,
--- a/tests/cluster/test_storage.py
+++ b/tests/cluster/test_storage.py
@@ -14,7 +14,7 @@
 from pebbledrift.chain.storage import Storage
 from pebbledrift.chain.view import View
 from pebbledrift.cluster.errors import StorageError
-from pebbledrift.keeper.startup import open_disk, open_storage, take_identity
+from pebbledrift.keeper.startup import load_or_create_identity, open_disk, open_storage
 from tests.cluster.simulated_disk import PowerLost, SimulatedFiles
 from tests.cluster.simulation import change
 
@@ -128,14 +128,14 @@
 
 def test_an_empty_folder_founds_and_one_that_cannot_be_read_never(tmp_path: Path) -> None:
     first = open_storage(tmp_path)
-    assert take_identity(first, "a:1", ["a:1", "b:1"], "g").node == "a:1/0"
+    assert load_or_create_identity(first, "a:1", ["a:1", "b:1"], "g").node == "a:1/0"
     assert first.storage is not None
     first.storage.append([Identity("a:1/0"), VIEW, VOTE])
     first.storage.close()
     path = tmp_path / "keeper" / "log-a"
     path.write_bytes(path.read_bytes()[: slots.HEADER.size] + b"\x00" * 100)
     again = open_storage(tmp_path)
-    assert take_identity(again, "a:1", ["a:1", "b:1"], "g").node == "a:1/g"
+    assert load_or_create_identity(again, "a:1", ["a:1", "b:1"], "g").node == "a:1/g"
     assert again.recovered.stored.view is None
 
 
@@ -149,7 +149,7 @@
     (folder / "slot-b").write_bytes(b"damaged")
     opened = open_storage(tmp_path)
     assert not opened.was_empty
-    assert take_identity(opened, "a:1", ["a:1"], "g").node == "a:1/g"
+    assert load_or_create_identity(opened, "a:1", ["a:1"], "g").node == "a:1/g"
 
 
 def test_what_follows_a_slot_whose_write_failed_is_read_back() -> None:
--- a/tests/cluster/test_workers.py
+++ b/tests/cluster/test_workers.py
@@ -1,4 +1,4 @@
-"""What a keeper needs before it acknowledges that a worker leaves."""
+"""Tests that a keeper acknowledges a leaving worker only once a majority of the keepers has it on disk."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pebbledrift.control.registry import Instance, InstanceState, parse_heartbeat
 from pebbledrift.keeper import workers
 from pebbledrift.keeper.instance_store import InstanceStore
-from pebbledrift.keeper.workers import WorkerDesk
+from pebbledrift.keeper.workers import WorkerTracker
 from pebbledrift.overlay.messages import InstanceNews, InstanceSnapshot, NewsReceived, NumberedNews
 
 OWN, OTHER, THIRD = "a:1", "b:1", "c:1"
@@ -20,7 +20,7 @@
 
 
 class Network:
-    """Takes what a desk sends; a keeper that is reached answers as `confirms` says."""
+    """Records what a tracker sends, and passes it on to the receivers in `reached`, by keeper address."""
 
     address = OWN
     router_count = 0
@@ -41,9 +41,9 @@
         return len(self.reached)
 
 
-def desk(network: Network, folder: Path, incarnation: int = 1, voters: int = 3) -> WorkerDesk:
+def make_tracker(network: Network, folder: Path, incarnation: int = 1, voters: int = 3) -> WorkerTracker:
     folder.mkdir(exist_ok=True)
-    return WorkerDesk(
+    return WorkerTracker(
         network,  # type: ignore[arg-type]
         1.2,
         InstanceStore(folder),
@@ -53,10 +53,12 @@
     )
 
 
-def confirming(own: Callable[[], WorkerDesk], address: str) -> Callable[[Any], None]:
+def confirming(tracker: Callable[[], WorkerTracker], address: str) -> Callable[[Any], None]:
+    """Returns the receiver of a keeper that confirms each numbered message."""
+
     def receive(message: Any) -> None:
         if isinstance(message, NumberedNews):
-            own().from_keeper(address, NewsReceived(message.number, message.asker))
+            tracker().on_keeper_message(address, NewsReceived(message.number, message.asker))
 
     return receive
 
@@ -66,102 +68,104 @@
     return parse_heartbeat("i-1", body)
 
 
-def play(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
     asyncio.run(scenario())
 
 
 @pytest.fixture(autouse=True)
-def short(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(workers, "CONFIRM_S", 0.2)
-    monkeypatch.setattr(workers, "CONFIRM_AGAIN_S", 0.02)
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(workers, "CONFIRM_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(workers, "CONFIRM_RETRY_S", 0.02)
 
 
 @pytest.mark.parametrize("leaves", ["draining", "deregister"])
-def test_whom_nobody_hears_gives_no_acknowledgement(tmp_path: Path, leaves: str) -> None:
+def test_without_reachable_keepers_nothing_is_acknowledged(tmp_path: Path, leaves: str) -> None:
     async def scenario() -> None:
         network = Network()
-        made = desk(network, tmp_path)
-        assert await made.heartbeat(instance())
+        tracker = make_tracker(network, tmp_path)
+        assert await tracker.heartbeat(instance())
         if leaves == "draining":
-            assert not await made.heartbeat(instance("draining", 2))
+            assert not await tracker.heartbeat(instance("draining", 2))
         else:
-            assert not await made.deregister("i-1")
+            assert not await tracker.deregister("i-1")
 
-    play(scenario)
+    run(scenario)
 
 
 @pytest.mark.parametrize("leaves", ["draining", "deregister"])
-def test_one_of_two_others_is_a_majority_and_it_is_told_until_it_has_confirmed(
+def test_one_of_two_others_is_a_majority_and_messages_repeat_until_confirmed(
     tmp_path: Path, leaves: str
 ) -> None:
     async def scenario() -> None:
         network = Network()
-        made = desk(network, tmp_path)
-        told: list[NumberedNews] = []
+        tracker = make_tracker(network, tmp_path)
+        received: list[NumberedNews] = []
 
         def receive(message: Any) -> None:
             if isinstance(message, NumberedNews):
-                told.append(message)
-                if len(told) == 3:  # the first two are lost
-                    confirming(lambda: made, OTHER)(message)
+                received.append(message)
+                if len(received) == 3:  # the first two are lost
+                    confirming(lambda: tracker, OTHER)(message)
 
         network.reached[OTHER] = receive
-        assert await made.heartbeat(instance())
+        assert await tracker.heartbeat(instance())
         assert await (
-            made.heartbeat(instance("draining", 2)) if leaves == "draining" else made.deregister("i-1")
+            tracker.heartbeat(instance("draining", 2)) if leaves == "draining" else tracker.deregister("i-1")
         )
-        assert len({news.number for news in told}) == 1
-        before = len(told)
+        assert len({message.number for message in received}) == 1
+        count_before = len(received)
         assert await (
-            made.heartbeat(instance("draining", 3)) if leaves == "draining" else made.deregister("i-1")
+            tracker.heartbeat(instance("draining", 3)) if leaves == "draining" else tracker.deregister("i-1")
         )
-        assert len(told) == before, "a majority is known to have it"
+        assert len(received) == count_before, "a confirmed state is not sent again"
 
-    play(scenario)
+    run(scenario)
 
 
-def test_one_of_five_is_none(tmp_path: Path) -> None:
+def test_one_other_of_five_is_no_majority(tmp_path: Path) -> None:
     async def scenario() -> None:
         network = Network()
-        made = desk(network, tmp_path, voters=5)
-        network.reached[OTHER] = confirming(lambda: made, OTHER)
-        assert not await made.deregister("i-1")
-        network.reached[THIRD] = confirming(lambda: made, THIRD)
-        assert await made.deregister("i-1")
+        tracker = make_tracker(network, tmp_path, voters=5)
+        network.reached[OTHER] = confirming(lambda: tracker, OTHER)
+        assert not await tracker.deregister("i-1")
+        network.reached[THIRD] = confirming(lambda: tracker, THIRD)
+        assert await tracker.deregister("i-1")
 
-    play(scenario)
+    run(scenario)
 
 
-def test_what_was_heard_from_another_keeper_is_not_acknowledged_without_a_majority(tmp_path: Path) -> None:
+def test_a_state_received_from_another_keeper_is_not_acknowledged_without_a_majority(tmp_path: Path) -> None:
     async def scenario() -> None:
         network = Network()
-        made = desk(network, tmp_path)
-        await made.heartbeat(instance())
-        made.from_keeper(OTHER, InstanceNews((instance("draining", 2),)))
-        assert not await made.heartbeat(instance("draining", 3))
+        tracker = make_tracker(network, tmp_path)
+        await tracker.heartbeat(instance())
+        tracker.on_keeper_message(OTHER, InstanceNews((instance("draining", 2),)))
+        assert not await tracker.heartbeat(instance("draining", 3))
 
-    play(scenario)
+    run(scenario)
 
 
-def test_an_answer_to_the_process_before_confirms_nothing(tmp_path: Path) -> None:
+def test_a_confirmation_for_an_earlier_incarnation_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         network = Network()
-        made = desk(network, tmp_path, incarnation=2)
+        tracker = make_tracker(network, tmp_path, incarnation=2)
 
         def receive(message: Any) -> None:
             if isinstance(message, NumberedNews):
-                made.from_keeper(OTHER, NewsReceived(message.number, 1))
+                tracker.on_keeper_message(OTHER, NewsReceived(message.number, 1))
 
         network.reached[OTHER] = receive
-        assert not await made.deregister("i-1")
+        assert not await tracker.deregister("i-1")
 
-    play(scenario)
+    run(scenario)
 
 
-def test_a_keeper_confirms_once_it_is_on_its_disk(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_keeper_confirms_once_the_state_is_on_its_disk(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def scenario() -> None:
         network = Network()
-        made = desk(network, tmp_path)
+        tracker = make_tracker(network, tmp_path)
         news = NumberedNews(7, 9, (instance("draining", 2),))
         done = asyncio.Event()
 
@@ -170,7 +174,7 @@
             done.set()
 
         network.reached[OTHER] = receive
-        made.from_keeper(OTHER, news)
+        tracker.on_keeper_message(OTHER, news)
         assert not network.sent
         async with asyncio.timeout(WAIT_S):
             await done.wait()
@@ -179,36 +183,38 @@
         assert isinstance(saved, InstanceSnapshot)
         assert [i.state for i in saved.instances] == [InstanceState.DRAINING]
 
-    play(scenario)
+    run(scenario)
 
 
-def test_a_disk_that_refuses_confirms_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_successful_disk_write_nothing_is_confirmed(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def scenario() -> None:
         network = Network()
-        made = desk(network, tmp_path)
+        tracker = make_tracker(network, tmp_path)
 
-        def refuse(value: Any) -> None:
+        def fail(value: Any) -> None:
             raise OSError("full")
 
-        assert made._store is not None
-        monkeypatch.setattr(made._store._slots, "write", refuse)
-        made.from_keeper(OTHER, NumberedNews(7, 9, (instance("draining", 2),)))
-        assert not await made.deregister("i-1")
+        assert tracker._store is not None
+        monkeypatch.setattr(tracker._store._slots, "write", fail)
+        tracker.on_keeper_message(OTHER, NumberedNews(7, 9, (instance("draining", 2),)))
+        assert not await tracker.deregister("i-1")
         assert not any(isinstance(message, NewsReceived) for message in network.sent)
 
-    play(scenario)
+    run(scenario)
 
 
-def test_a_late_heartbeat_does_not_bring_back_what_leaves(tmp_path: Path) -> None:
+def test_a_late_heartbeat_does_not_revert_a_leaving_worker(tmp_path: Path) -> None:
     async def scenario() -> None:
         network = Network()
-        made = desk(network, tmp_path)
-        network.reached[OTHER] = confirming(lambda: made, OTHER)
-        assert await made.heartbeat(instance("draining", 5))
-        assert await made.heartbeat(instance("ready", 4))
-        assert made.registry.instances["i-1"].state == InstanceState.DRAINING
-        assert await made.deregister("i-1")
-        assert await made.heartbeat(instance("ready", 6))
-        assert "i-1" not in made.registry.instances
-
-    play(scenario)
+        tracker = make_tracker(network, tmp_path)
+        network.reached[OTHER] = confirming(lambda: tracker, OTHER)
+        assert await tracker.heartbeat(instance("draining", 5))
+        assert await tracker.heartbeat(instance("ready", 4))
+        assert tracker.registry.instances["i-1"].state == InstanceState.DRAINING
+        assert await tracker.deregister("i-1")
+        assert await tracker.heartbeat(instance("ready", 6))
+        assert "i-1" not in tracker.registry.instances
+
+    run(scenario)
