--- a/pebbledrift/chain/transfer.py
+++ b/pebbledrift/chain/transfer.py
@@ -12,8 +12,8 @@
 from pebbledrift.cluster.errors import MessageError
 
 PART_BYTES = 32 * 1024
-ENCODED_MOST = codec.FRAME_MOST
-DECODED_MOST = 2 * codec.FRAME_MOST
+ENCODED_MOST = codec.MAX_FRAME_BYTES
+DECODED_MOST = 2 * codec.MAX_FRAME_BYTES
 KEPT_S = 10.0  # an image is kept for so long after the last part was asked for
 COMPRESSION_LEVEL = 1
 AGAIN_S, AGAIN_GROWTH, AGAIN_MOST_S = (
--- a/pebbledrift/cluster/__init__.py
+++ b/pebbledrift/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What every process of a router fleet has: boot settings, typed messages, connections to its peers."""
+"""Code that all roles of the router fleet share: boot settings, message codec, transport, metrics, errors."""
--- a/pebbledrift/cluster/codec.py
+++ b/pebbledrift/cluster/codec.py
@@ -1,6 +1,10 @@
-"""Typed messages as CBOR: a message class is registered once with its number, fields travel in order.
+"""Encodes typed messages as CBOR and frames them for a byte stream.
 
-A message may hold other registered classes, numbers, texts, bytes, lists, tuples and maps of these.
+Each message class is registered once under a number, which selects its CBOR tag; its fields are encoded as
+an array in the order of their declaration. A message may contain other registered classes, numbers, strings,
+bytes, lists, tuples and maps of these.
+
+A frame is a header and a body. The header is a 32-bit big-endian word: two flags and the length of the body.
 """
 
 from __future__ import annotations
@@ -16,149 +20,153 @@
 from pebbledrift.cluster.errors import MessageError
 from spoolpier.records import record
 
-FIRST_TAG = 40_000  # of the range that is free for private use
-LENGTH = struct.Struct(">I")
-FRAME_MOST = 12 * 1024 * 1024
-COMPRESS_LEAST = 4096  # shorter messages go as they are
+FIRST_TAG = 40_000  # CBOR tag of message 0, from the range that is free for private use
+HEADER = struct.Struct(">I")
+MAX_FRAME_BYTES = 12 * 1024 * 1024  # of the body, before and after compression
+MIN_COMPRESSED_BYTES = 4096  # shorter messages are sent uncompressed
 COMPRESSION_LEVEL = 1
-COMPRESSED = 0x8000_0000  # flag in a frame's length
-FRAGMENT = 0x4000_0000  # the frame holds a part of a longer one, behind a byte: is it the last?
+COMPRESSED_FLAG = 0x8000_0000  # set in the header if the body is compressed with zlib
+# Set in the header if the body is a part of a longer frame; its first byte says whether it is the last part.
+FRAGMENT_FLAG = 0x4000_0000
 LAST_FRAGMENT, MORE_FRAGMENTS = b"\x01", b"\x00"
 FRAGMENT_BYTES = 16 * 1024
-_SIZE_MASK = FRAGMENT - 1
+_LENGTH_MASK = FRAGMENT_FLAG - 1
 
 Class = TypeVar("Class")
-_by_tag: dict[int, type] = {}
-_tag_of: dict[type, int] = {}
-_names_of: dict[type, tuple[str, ...]] = {}
+_class_by_tag: dict[int, type] = {}
+_tag_by_class: dict[type, int] = {}
+_field_names: dict[type, tuple[str, ...]] = {}
 
 
 @dataclass_transform(frozen_default=True)
 def message(number: int) -> Callable[[type[Class]], type[Class]]:
-    """Register a class as message `number`, and make it a frozen data class."""
+    """Register a class as message `number`, and make it a frozen data class.
+
+    The decorator raises RuntimeError if the number is already in use.
+    """
 
-    def register(given: type[Class]) -> type[Class]:
-        made: type[Any] = record(given)
+    def register(message_class: type[Class]) -> type[Class]:
+        registered_class: type[Any] = record(message_class)
         tag = FIRST_TAG + number
-        if tag in _by_tag:
+        if tag in _class_by_tag:
             raise RuntimeError(f"message {number} is registered twice")
-        _by_tag[tag] = made
-        _tag_of[made] = tag
-        _names_of[made] = tuple(f.name for f in fields(made))
-        return made
+        _class_by_tag[tag] = registered_class
+        _tag_by_class[registered_class] = tag
+        _field_names[registered_class] = tuple(f.name for f in fields(registered_class))
+        return registered_class
 
     return register
 
 
-def _default(encoder: cbor2.CBOREncoder, value: Any) -> None:
-    tag = _tag_of.get(type(value))
+def _encode_message(encoder: cbor2.CBOREncoder, value: Any) -> None:
+    tag = _tag_by_class.get(type(value))
     if tag is None:
-        raise MessageError(f"no message: {type(value).__name__}")
-    names = _names_of[type(value)]
-    encoder.encode(cbor2.CBORTag(tag, [getattr(value, name) for name in names]))
+        raise MessageError(f"not a registered message class: {type(value).__name__}")
+    field_names = _field_names[type(value)]
+    encoder.encode(cbor2.CBORTag(tag, [getattr(value, name) for name in field_names]))
 
 
-def _restore(tag: cbor2.CBORTag, immutable: bool = False) -> Any:
-    made = _by_tag.get(tag.tag)
-    if made is None:
-        raise MessageError(f"unknown message: {tag.tag}")
-    if not isinstance(tag.value, list | tuple) or len(tag.value) != len(_names_of[made]):
-        raise MessageError(f"malformed message: {made.__name__}")
-    return made(*tag.value)
+def _decode_tag(tag: cbor2.CBORTag, immutable: bool = False) -> Any:
+    registered_class = _class_by_tag.get(tag.tag)
+    if registered_class is None:
+        raise MessageError(f"unknown message tag: {tag.tag}")
+    if not isinstance(tag.value, list | tuple) or len(tag.value) != len(_field_names[registered_class]):
+        raise MessageError(f"malformed message: fields do not match {registered_class.__name__}")
+    return registered_class(*tag.value)
 
 
 def encode(value: Any) -> bytes:
-    """A message as bytes."""
-    return cbor2.dumps(value, default=_default)
+    """Encode a message; raises MessageError if it contains an object of an unregistered class."""
+    return cbor2.dumps(value, default=_encode_message)
 
 
 def decode(data: bytes | bytearray | memoryview) -> Any:
-    """A message from its bytes; raises MessageError on anything else."""
+    """Decode a message; raises MessageError if the bytes are not an encoded message."""
     try:
-        value = cbor2.loads(bytes(data), tag_hook=_restore)
+        value = cbor2.loads(bytes(data), tag_hook=_decode_tag)
     except MessageError:
         raise
     except Exception as error:
-        raise MessageError(f"not decodable: {error}") from error
-    if type(value) not in _tag_of:
-        raise MessageError("not a message")
+        raise MessageError(f"message is not decodable: {error}") from error
+    if type(value) not in _tag_by_class:
+        raise MessageError("the encoded value is not a registered message")
     return value
 
 
 def frame(value: Any) -> bytes:
-    """A message behind its length."""
+    """Encode a message as a frame, compressed if it is long; raises MessageError if it is too long."""
     body = encode(value)
-    if len(body) > FRAME_MOST:
-        raise MessageError(f"message of {len(body)} bytes")
-    if len(body) < COMPRESS_LEAST:
-        return LENGTH.pack(len(body)) + body
-    packed = zlib.compress(body, COMPRESSION_LEVEL)
-    return LENGTH.pack(COMPRESSED | len(packed)) + packed
+    if len(body) > MAX_FRAME_BYTES:
+        raise MessageError(f"message of {len(body)} bytes exceeds the maximum frame size")
+    if len(body) < MIN_COMPRESSED_BYTES:
+        return HEADER.pack(len(body)) + body
+    compressed = zlib.compress(body, COMPRESSION_LEVEL)
+    return HEADER.pack(COMPRESSED_FLAG | len(compressed)) + compressed
 
 
 def fragments(framed: bytes) -> Iterator[bytes]:
-    """A long frame as several short ones: others may go between them."""
+    """Split a long frame into several short ones, so that other frames can be sent between them."""
     view = memoryview(framed)
     for start in range(0, len(view), FRAGMENT_BYTES):
-        part = view[start : start + FRAGMENT_BYTES]
-        mark = LAST_FRAGMENT if start + FRAGMENT_BYTES >= len(view) else MORE_FRAGMENTS
-        yield LENGTH.pack(FRAGMENT | (len(part) + 1)) + mark + part
+        payload = view[start : start + FRAGMENT_BYTES]
+        marker = LAST_FRAGMENT if start + FRAGMENT_BYTES >= len(view) else MORE_FRAGMENTS
+        yield HEADER.pack(FRAGMENT_FLAG | (len(payload) + 1)) + marker + payload
 
 
-def _inflate(data: bytes | bytearray) -> bytes:
-    inflater = zlib.decompressobj()
+def _decompress(data: bytes | bytearray) -> bytes:
+    decompressor = zlib.decompressobj()
     try:
-        body = inflater.decompress(data, FRAME_MOST + 1)
+        body = decompressor.decompress(data, MAX_FRAME_BYTES + 1)
     except zlib.error as error:
-        raise MessageError(f"not decodable: {error}") from error
-    if not inflater.eof or len(body) > FRAME_MOST:
-        raise MessageError("compressed message is cut short or too large")
+        raise MessageError(f"message cannot be decompressed: {error}") from error
+    if not decompressor.eof or len(body) > MAX_FRAME_BYTES:
+        raise MessageError("compressed message is truncated or exceeds the maximum frame size")
     return body
 
 
 class FrameReader:
-    """Cuts a stream of bytes into messages."""
+    """Splits a byte stream into frames and decodes their messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._fragments = bytearray()  # of one frame: fragments of two are never mixed
+        self._fragments = bytearray()  # of a single frame, as a sender never interleaves the fragments of two
 
     def feed(self, data: bytes) -> list[Any]:
-        """All messages that are complete with these bytes; raises MessageError."""
+        """Return all messages that these bytes complete; raises MessageError if the stream is malformed."""
         self._buffer += data
-        found = []
-        while len(self._buffer) >= LENGTH.size:
-            (head,) = LENGTH.unpack_from(self._buffer)
-            size = head & _SIZE_MASK
-            if size > FRAME_MOST:
-                raise MessageError(f"frame of {size} bytes")
-            end = LENGTH.size + size
+        messages = []
+        while len(self._buffer) >= HEADER.size:
+            (header,) = HEADER.unpack_from(self._buffer)
+            length = header & _LENGTH_MASK
+            if length > MAX_FRAME_BYTES:
+                raise MessageError(f"frame of {length} bytes exceeds the maximum frame size")
+            end = HEADER.size + length
             if len(self._buffer) < end:
                 break
-            body = bytes(self._buffer[LENGTH.size : end])
+            body = bytes(self._buffer[HEADER.size : end])
             del self._buffer[:end]
-            if head & FRAGMENT:
-                found += self._take_fragment(body)
+            if header & FRAGMENT_FLAG:
+                messages += self._add_fragment(body)
             else:
-                found.append(_message(head, body))
-        return found
+                messages.append(_decode_body(header, body))
+        return messages
 
-    def _take_fragment(self, body: bytes) -> list[Any]:
+    def _add_fragment(self, body: bytes) -> list[Any]:
         if body[:1] not in (LAST_FRAGMENT, MORE_FRAGMENTS):
-            raise MessageError("fragment without its mark")
+            raise MessageError("fragment does not start with a last-or-more marker")
         self._fragments += body[1:]
-        if len(self._fragments) > FRAME_MOST + LENGTH.size:
-            raise MessageError(f"fragments of {len(self._fragments)} bytes")
+        if len(self._fragments) > MAX_FRAME_BYTES + HEADER.size:
+            raise MessageError(f"fragments of {len(self._fragments)} bytes exceed the maximum frame size")
         if body[:1] != LAST_FRAGMENT:
             return []
         framed, self._fragments = bytes(self._fragments), bytearray()
-        if len(framed) < LENGTH.size:
-            raise MessageError("fragments without a frame")
-        (head,) = LENGTH.unpack_from(framed)
-        if head & FRAGMENT or head & _SIZE_MASK != len(framed) - LENGTH.size:
-            raise MessageError("fragments of no frame")
-        return [_message(head, framed[LENGTH.size :])]
+        if len(framed) < HEADER.size:
+            raise MessageError("joined fragments are shorter than a frame header")
+        (header,) = HEADER.unpack_from(framed)
+        if header & FRAGMENT_FLAG or header & _LENGTH_MASK != len(framed) - HEADER.size:
+            raise MessageError("joined fragments are not one whole frame")
+        return [_decode_body(header, framed[HEADER.size :])]
 
 
-def _message(head: int, body: bytes) -> Any:
-    return decode(_inflate(body) if head & COMPRESSED else body)
+def _decode_body(header: int, body: bytes) -> Any:
+    return decode(_decompress(body) if header & COMPRESSED_FLAG else body)
--- a/pebbledrift/cluster/errors.py
+++ b/pebbledrift/cluster/errors.py
@@ -1,26 +1,26 @@
-"""The exception tree of the router fleet."""
+"""Exception hierarchy of the router fleet."""
 
 from __future__ import annotations
 
 
 class FleetError(Exception):
-    """Base of all errors that the fleet's own code raises."""
+    """Base class of all errors that the fleet's own code raises."""
 
 
 class BootError(FleetError):
-    """The boot settings cannot be used; the message names the key."""
+    """The boot settings are invalid; the message names the key."""
 
 
 class MessageError(FleetError):
-    """Bytes from a peer that are no message."""
+    """Bytes from a peer that are not a valid message, or a value that cannot be encoded as one."""
 
 
 class StorageError(FleetError):
-    """The disk refused an operation, or holds what cannot be read."""
+    """A disk operation failed, or the stored data cannot be read."""
 
 
 class InvalidConfiguration(FleetError):
-    """An operator's configuration is at fault; `faults` holds one line for each fault, with its place."""
+    """An operator's configuration is invalid; `faults` holds one line per fault, with its location."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
--- a/pebbledrift/cluster/exposition.py
+++ b/pebbledrift/cluster/exposition.py
@@ -1,4 +1,4 @@
-"""Figures as text, in the exposition format that the usual scrapers read."""
+"""Renders metrics in the Prometheus text exposition format."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @record
 class Sample:
-    """One value, with its labels; `suffix` names a part of a histogram."""
+    """One value with its labels; `suffix` is appended to the family's name, for the series of a histogram."""
 
     value: float
     labels: Mapping[str, str]
@@ -20,34 +20,36 @@
 
 @record
 class Family:
-    """All values of one name."""
+    """A metric family: all samples that share a name, a type and a help text."""
 
     name: str
     kind: str  # counter, gauge or histogram
-    text: str
+    help_text: str
     samples: tuple[Sample, ...]
 
 
-def gauge(name: str, text: str, value: float, **labels: str) -> Family:
-    """A family of one value."""
-    return Family(name, "gauge", text, (Sample(value, labels),))
+def gauge(name: str, help_text: str, value: float, **labels: str) -> Family:
+    """Return a gauge family with a single sample."""
+    return Family(name, "gauge", help_text, (Sample(value, labels),))
 
 
 def render(families: Iterable[Family]) -> str:
-    """The text of all families."""
+    """Render all families as one document."""
     lines: list[str] = []
     for family in families:
-        lines.append(f"# HELP {family.name} {family.text}")
+        lines.append(f"# HELP {family.name} {family.help_text}")
         lines.append(f"# TYPE {family.name} {family.kind}")
-        lines += [_line(family.name, sample) for sample in family.samples]
+        lines += [_sample_line(family.name, sample) for sample in family.samples]
     return "\n".join(lines) + "\n"
 
 
-def _line(name: str, sample: Sample) -> str:
-    labels = ",".join(f'{key}="{_escaped(value)}"' for key, value in sample.labels.items())
-    shown = f"{{{labels}}}" if labels else ""
-    return f"{name}{sample.suffix}{shown} {sample.value:.10g}"
+def _sample_line(name: str, sample: Sample) -> str:
+    """Render one sample; the value has up to ten significant digits."""
+    labels = ",".join(f'{key}="{_escape_label(value)}"' for key, value in sample.labels.items())
+    label_set = f"{{{labels}}}" if labels else ""
+    return f"{name}{sample.suffix}{label_set} {sample.value:.10g}"
 
 
-def _escaped(text: str) -> str:
+def _escape_label(text: str) -> str:
+    """Escape backslashes, double quotes and line feeds in a label value."""
     return text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/pebbledrift/cluster/peaks.py
+++ b/pebbledrift/cluster/peaks.py
@@ -1,17 +1,23 @@
-"""The largest of the counts told lately."""
+"""Maximum of recently reported counts."""
 
 from __future__ import annotations
 
 
 class RecentPeak:
-    """A count that some tell too low, as they have not heard of all: the largest told in a span counts."""
+    """Estimates a count from reports that may be too low, by keeping the largest one of a time span.
+
+    Reports are too low when the process that sends them does not know all members yet.
+    """
 
     def __init__(self, span_s: float) -> None:
         self._span_s = span_s
-        self._at = 0.0
+        self._peak_at = 0.0
         self.value = 0
 
     def note(self, count: int, now: float) -> None:
-        """A count was told; a smaller one counts once the largest has not been told for the span."""
-        if count >= self.value or now - self._at > self._span_s:
-            self.value, self._at = count, now
+        """Add a reported count; `now` is in seconds.
+
+        A smaller count replaces the peak only after the peak has not been reported for the time span.
+        """
+        if count >= self.value or now - self._peak_at > self._span_s:
+            self.value, self._peak_at = count, now
--- a/pebbledrift/cluster/transport.py
+++ b/pebbledrift/cluster/transport.py
@@ -1,4 +1,4 @@
-"""Connections between the processes of the fleet: messages both ways, watched for silence, made anew."""
+"""Message connections between the processes of the fleet, with liveness checks and reconnection."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 log = logging.getLogger(__name__)
 
-PING_S = 0.5
-SILENCE_S = 1.6  # a connection that nothing came on for so long is given up
-CONNECT_S = 0.4
-RETRY_S, RETRY_GROWTH, RETRY_MOST_S = 0.04, 1.25, 0.25
-WRITE_MOST = 16 * 1024 * 1024  # unsent bytes beyond which the peer is taken to be stuck
-BACKLOG = 256
+PING_INTERVAL_S = 0.5
+MAX_SILENCE_S = 1.6  # a connection on which nothing is received for this time is aborted
+CONNECT_TIMEOUT_S = 0.4
+MIN_RETRY_PAUSE_S, RETRY_GROWTH, MAX_RETRY_PAUSE_S = 0.04, 1.25, 0.25
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # beyond this, the peer is considered stuck and the connection is aborted
+LISTEN_BACKLOG = 256
 
 
 @message(1)
 class Hello:
-    """The first message of whoever connects: what it is and where it can be reached."""
+    """First message from the side that connects: its role, name, zone, incarnation and listen address."""
 
     role: str
     name: str
@@ -38,75 +38,75 @@
 
 @message(2)
 class Ping:
-    """Says that the sender lives."""
+    """Keepalive message."""
 
 
 class Listener(Protocol):
-    """Whoever gets the messages of a connection."""
+    """Receives the events and messages of connections."""
 
     def opened(self, channel: Channel) -> None:
-        """The peer has said who it is, or our connection to it is up."""
+        """The channel is open: we dialled and are connected, or the peer's Hello has arrived."""
 
     def received(self, channel: Channel, message: Any) -> None:
-        """A message came."""
+        """A message has arrived; Hello and Ping are handled by the channel itself."""
 
     def closed(self, channel: Channel) -> None:
-        """The connection has ended."""
+        """An open channel has been closed."""
 
 
 class Channel(asyncio.Protocol):
-    """One connection. `peer` is known once its Hello has come; we know whom we dialled."""
+    """One connection. `peer` is None until the peer's Hello arrives; only the side that dials sends one."""
 
     def __init__(self, listener: Listener, hello: Hello | None = None, address: str = "") -> None:
         self.listener = listener
-        self.hello = hello  # ours, where we dialled
+        self.hello = hello  # our own, on a connection that we dialled
         self.address = address  # of the peer, as HOST:PORT
         self.peer: Hello | None = None
         self.open = False
         self._reader = FrameReader()
-        self._backlog: deque[bytes] = deque()  # frames that wait behind a long one
-        self._backlog_bytes = 0
-        self._sending_bytes = 0  # of the long frame that is being sent
-        self._fragments: Iterator[bytes] = iter(())  # of the frame that is being sent
-        self._blocked = False  # the kernel takes nothing for now
+        self._queue: deque[bytes] = deque()  # frames that wait for a long one to be sent
+        self._queued_bytes = 0
+        self._sending_bytes = 0  # size of the long frame that is being sent
+        self._fragments: Iterator[bytes] = iter(())  # remaining ones of the frame that is being sent
+        self._write_paused = False  # the send buffer of the socket is full
         self._transport: asyncio.Transport | None = None
-        self._heard = 0.0
+        self._last_received_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._heard = self._loop.time()
+        self._last_received_at = self._loop.time()
         transport.set_write_buffer_limits(high=0)
-        _tune(transport.get_extra_info("socket"))
-        self._timer = self._loop.call_later(PING_S, self._watch)
+        _set_socket_options(transport.get_extra_info("socket"))
+        self._timer = self._loop.call_later(PING_INTERVAL_S, self._check_silence)
         if self.hello is not None:
             self.open = True
             self.send(self.hello)
             self.listener.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        self._heard = self._loop.time()
+        self._last_received_at = self._loop.time()
         try:
-            for received in self._reader.feed(data):
-                self._take(received)
+            for message in self._reader.feed(data):
+                self._handle(message)
         except MessageError as error:
-            log.warning("peer sent no message", extra={"peer": self.address, "error": str(error)})
+            log.warning("peer sent an invalid message", extra={"peer": self.address, "error": str(error)})
             self.abort()
 
-    def _take(self, received: Any) -> None:
-        if isinstance(received, Ping):
+    def _handle(self, message: Any) -> None:
+        if isinstance(message, Ping):
             return
-        if isinstance(received, Hello):
-            self.peer, self.address = received, received.address
+        if isinstance(message, Hello):
+            self.peer, self.address = message, message.address
             if self.hello is None and not self.open:
                 self.open = True
                 self.listener.opened(self)
             return
         if not self.open:
-            raise MessageError("no hello")
-        self.listener.received(self, received)
+            raise MessageError("message received before the peer's Hello")
+        self.listener.received(self, message)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._timer is not None:
@@ -115,73 +115,80 @@
             self.open = False
             self.listener.closed(self)
 
-    def _watch(self) -> None:
-        if self._loop.time() - self._heard > SILENCE_S:
+    def _check_silence(self) -> None:
+        if self._loop.time() - self._last_received_at > MAX_SILENCE_S:
             self.abort()
             return
         self.send(Ping(), urgent=True)
-        self._timer = self._loop.call_later(PING_S, self._watch)
+        self._timer = self._loop.call_later(PING_INTERVAL_S, self._check_silence)
 
     def send(self, value: Any, urgent: bool = False) -> None:
-        """Send a message; one to a peer that takes nothing any more ends the connection.
+        """Send a message; aborts the connection if more than MAX_UNSENT_BYTES are unsent already.
 
-        Long messages go in fragments. An urgent one may go between these; all others keep their order.
+        Long messages are sent in fragments. A short urgent message is sent between the fragments, ahead of
+        the queued messages; all other messages keep their order.
         """
         self.send_frame(frame(value), urgent)
 
     def send_frame(self, data: bytes, urgent: bool = False) -> None:
-        """Send a message that was encoded before: the same to many."""
+        """Send an already encoded frame, for senders of the same message to many peers."""
         if self._transport is None or self._transport.is_closing():
             return
-        if self._transport.get_write_buffer_size() + self._backlog_bytes + self._sending_bytes > WRITE_MOST:
+        if (
+            self._transport.get_write_buffer_size() + self._queued_bytes + self._sending_bytes
+            > MAX_UNSENT_BYTES
+        ):
             self.abort()
             return
         short = len(data) <= FRAGMENT_BYTES
-        if short and (urgent or not self._backlog_bytes + self._sending_bytes):
+        if short and (urgent or not self._queued_bytes + self._sending_bytes):
             self._transport.write(data)
             return
-        self._backlog.append(data)
-        self._backlog_bytes += len(data)
-        self._send_backlog()
+        self._queue.append(data)
+        self._queued_bytes += len(data)
+        self._send_queued()
 
-    def _send_backlog(self) -> None:
-        """Send fragments as long as the kernel takes them."""
-        while not self._blocked and self._transport is not None and not self._transport.is_closing():
+    def _send_queued(self) -> None:
+        """Send fragments until the send buffer of the socket is full."""
+        while not self._write_paused and self._transport is not None and not self._transport.is_closing():
             fragment = next(self._fragments, None)
             if fragment is not None:
                 self._transport.write(fragment)
                 continue
             self._sending_bytes = 0
-            if not self._backlog:
+            if not self._queue:
                 return
-            framed = self._backlog.popleft()
+            framed = self._queue.popleft()
             self._sending_bytes = len(framed)
-            self._backlog_bytes -= len(framed)
+            self._queued_bytes -= len(framed)
             self._fragments = fragments(framed)
 
     def pause_writing(self) -> None:
-        """The kernel takes nothing for now."""
-        self._blocked = True
+        """Called by asyncio when the send buffer of the socket is full."""
+        self._write_paused = True
 
     def resume_writing(self) -> None:
-        """All that was written has gone to the kernel."""
-        self._blocked = False
-        self._send_backlog()
+        """Called by asyncio when all written bytes have been passed to the kernel."""
+        self._write_paused = False
+        self._send_queued()
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately, without sending what is still buffered."""
         if self._transport is not None:
             self._transport.abort()
 
 
-def _tune(connection: socket.socket) -> None:
-    """Notice a peer that has gone silently."""
+def _set_socket_options(connection: socket.socket) -> None:
+    """Send small messages without delay, and detect a peer that vanished without closing the connection."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SILENCE_S * 1000))
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(MAX_SILENCE_S * 1000))
 
 
 class Dialer:
-    """Keeps a connection to one address up."""
+    """Maintains a connection to one address, and reconnects after it is lost.
+
+    The pause between attempts grows from MIN_RETRY_PAUSE_S to MAX_RETRY_PAUSE_S while they fail.
+    """
 
     def __init__(self, address: Address, hello: Callable[[], Hello], listener: Listener) -> None:
         self.address = address
@@ -193,17 +200,17 @@
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
-        pause = RETRY_S
+        pause = MIN_RETRY_PAUSE_S
         while True:
             ended = loop.create_future()
-            self._retry_now.clear()  # one that comes while we try counts for the pause behind it
+            self._retry_now.clear()  # a request made during this attempt ends the pause after it
             try:
-                async with asyncio.timeout(CONNECT_S):
-                    await loop.create_connection(partial(self._make, ended), *self.address)
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    await loop.create_connection(partial(self._create_channel, ended), *self.address)
             except (OSError, TimeoutError):
-                pause = min(RETRY_MOST_S, RETRY_GROWTH * pause)
+                pause = min(MAX_RETRY_PAUSE_S, RETRY_GROWTH * pause)
             else:
-                pause = RETRY_S
+                pause = MIN_RETRY_PAUSE_S
                 await ended
             self.channel = None
             with contextlib.suppress(TimeoutError):
@@ -211,26 +218,26 @@
                     await self._retry_now.wait()
 
     def retry_now(self) -> None:
-        """The peer is there: it has connected to us just now."""
+        """Skip the current or next pause, as the peer is up: it has just connected to us."""
         self._retry_now.set()
 
-    def _make(self, ended: asyncio.Future[None]) -> Channel:
-        return _Dialled(self, self._listener, self._hello(), ended)
+    def _create_channel(self, ended: asyncio.Future[None]) -> Channel:
+        return _DialledChannel(self, self._listener, self._hello(), ended)
 
     def send(self, value: Any, urgent: bool = False) -> None:
-        """Send a message if the connection is up; else it is lost."""
+        """Send a message if the connection is established; otherwise the message is dropped."""
         if self.channel is not None:
             self.channel.send(value, urgent)
 
     def close(self) -> None:
-        """Give the connection up for good."""
+        """Close the connection and stop reconnecting."""
         self._task.cancel()
         if self.channel is not None:
             self.channel.abort()
 
 
-class _Dialled(Channel):
-    """A channel of a dialer's, which can send from the moment that it is told to be open."""
+class _DialledChannel(Channel):
+    """A channel of a dialer; sets `Dialer.channel` first, so that the listener can send from `opened` on."""
 
     def __init__(self, dialer: Dialer, listener: Listener, hello: Hello, ended: asyncio.Future[None]) -> None:
         super().__init__(listener, hello, dialer.name)
@@ -247,6 +254,6 @@
 
 
 async def serve(address: Address, listener: Listener) -> asyncio.Server:
-    """Accept connections of other processes."""
+    """Start a server that accepts connections from other processes."""
     loop = asyncio.get_running_loop()
-    return await loop.create_server(lambda: Channel(listener), *address, backlog=BACKLOG)
+    return await loop.create_server(lambda: Channel(listener), *address, backlog=LISTEN_BACKLOG)
--- a/pebbledrift/console/commands/base.py
+++ b/pebbledrift/console/commands/base.py
@@ -26,7 +26,7 @@
         "keeper",
         "k",
         description=f"Control address HOST:PORT of a keeper; else ${KEEPERS_VARIABLE}, or the seeds of "
-        f"${boot.VARIABLE}.",
+        f"${boot.SETTINGS_PATH_VARIABLE}.",
         flag=False,
         multiple=True,
     ),
@@ -89,10 +89,10 @@
         named = self.option("keeper") or [
             text for text in os.environ.get(KEEPERS_VARIABLE, "").split(",") if text
         ]
-        if named or boot.VARIABLE not in os.environ:
+        if named or boot.SETTINGS_PATH_VARIABLE not in os.environ:
             return list(named)
         try:
-            seeds = boot.load(os.environ[boot.VARIABLE]).seeds
+            seeds = boot.load(os.environ[boot.SETTINGS_PATH_VARIABLE]).seeds
         except BootError as error:
             raise ConsoleError(str(error)) from None
         return [boot.format_address(seed) for seed in seeds]
--- a/tests/cluster/simulated_network.py
+++ b/tests/cluster/simulated_network.py
@@ -10,7 +10,7 @@
 
 from pebbledrift.chain.messages import URGENT
 from pebbledrift.cluster import codec
-from pebbledrift.cluster.transport import SILENCE_S
+from pebbledrift.cluster.transport import MAX_SILENCE_S
 
 At = Callable[[float, Callable[[], None]], None]
 Pair = tuple[str, str]
@@ -115,7 +115,7 @@
             link = self.link(sender, receiver)
             if sender != receiver and link.cut_since is None:
                 since = link.cut_since = self._now()
-                self._at(since + SILENCE_S, lambda s=sender, r=receiver, t=since: self._give_up(s, r, t))  # type: ignore[misc]
+                self._at(since + MAX_SILENCE_S, lambda s=sender, r=receiver, t=since: self._give_up(s, r, t))  # type: ignore[misc]
 
     def _give_up(self, sender: str, receiver: str, since: float) -> None:
         link = self.link(sender, receiver)
--- a/tests/cluster/test_roles.py
+++ b/tests/cluster/test_roles.py
@@ -1,4 +1,4 @@
-"""The start of the roles: nobody waits for a keeper without a disk."""
+"""Start of the process roles: a keeper without a disk, for which nothing waits, starts after its router."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 }
 
 
-class Time:
-    """A clock that goes on as somebody sleeps."""
+class FakeTime:
+    """Stands for the module `time`: its clock advances only by calls of `sleep`."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -35,36 +35,36 @@
 
 
 @pytest.fixture
-def clock(monkeypatch: pytest.MonkeyPatch) -> Time:
-    made = Time()
-    monkeypatch.setattr(roles, "time", made)
-    return made
+def clock(monkeypatch: pytest.MonkeyPatch) -> FakeTime:
+    fake_time = FakeTime()
+    monkeypatch.setattr(roles, "time", fake_time)
+    return fake_time
 
 
-def settings(disk: bool) -> BootSettings:
-    return replace(parse(SETTINGS), data_dir=Path("/nowhere") if disk else None)
+def settings(has_disk: bool) -> BootSettings:
+    return replace(parse(SETTINGS), data_dir=Path("/nowhere") if has_disk else None)
 
 
-@pytest.mark.parametrize("disk", [True, False])
-def test_a_keeper_without_a_disk_starts_behind_its_router(clock: Time, disk: bool) -> None:
-    roles.let_router_start("keeper", settings(disk))
-    assert clock.now == (0.0 if disk else roles.DISKLESS_START_S)
+@pytest.mark.parametrize("has_disk", [True, False])
+def test_a_keeper_without_a_disk_is_delayed(clock: FakeTime, has_disk: bool) -> None:
+    roles.delay_diskless_keeper("keeper", settings(has_disk))
+    assert clock.now == (0.0 if has_disk else roles.DISKLESS_KEEPER_DELAY_S)
 
 
-def test_a_router_starts_at_once(clock: Time) -> None:
-    roles.let_router_start("router", settings(True))
-    roles.let_router_start("router", settings(False))
+def test_a_router_starts_at_once(clock: FakeTime) -> None:
+    roles.delay_diskless_keeper("router", settings(True))
+    roles.delay_diskless_keeper("router", settings(False))
     assert clock.now == 0.0
 
 
-def test_the_wait_comes_before_anything_is_imported(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_the_delay_precedes_all_imports_of_the_role(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     steps: list[str] = []
     path = tmp_path / "node.json"
     path.write_text(json.dumps(SETTINGS))
-    monkeypatch.setenv(boot.VARIABLE, str(path))
-    monkeypatch.setattr(roles, "let_router_start", lambda role, told: steps.append(f"wait {role}"))
-    monkeypatch.setattr(roles, "_serve", lambda role, told, where: steps.append(f"serve {role}"))
+    monkeypatch.setenv(boot.SETTINGS_PATH_VARIABLE, str(path))
+    monkeypatch.setattr(roles, "delay_diskless_keeper", lambda role, settings: steps.append(f"wait {role}"))
+    monkeypatch.setattr(roles, "_serve", lambda role, settings, path: steps.append(f"serve {role}"))
     assert roles.run("router") == 0
     assert steps == ["wait router", "serve router"]
     path.write_text("{}")
-    assert roles.run("router") == roles.EXIT_SETTINGS
+    assert roles.run("router") == roles.EXIT_INVALID_SETTINGS
--- a/tests/cluster/test_signals.py
+++ b/tests/cluster/test_signals.py
@@ -1,8 +1,9 @@
-"""Signals at any moment of a process's life.
+"""SIGHUP at any time in the lifetime of a process.
 
-Found by a soak in which restarts and SIGHUP overlap: SIGHUP that came to a router or keeper before its event
-loop had a handler ended the process, and the router was gone until somebody started it again. The settings
-file is a pipe here, so that the process stands where it reads its settings until the signal has come.
+Guards against a failure that a soak test with overlapping restarts and SIGHUPs showed: a SIGHUP that reached
+a router or keeper before its event loop had a handler ended the process, and the router stayed down until
+somebody started it again. The settings file is a pipe here, so that the process blocks while it reads its
+settings until the signal has been sent.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 from rig.fleet import ROOT, Fleet, wait_for
 
 
-def listening(fleet: Fleet, role: str) -> bool:
-    """Whether the process serves: a router's readiness address, a keeper's control interface."""
+def is_listening(fleet: Fleet, role: str) -> bool:
+    """Whether a router accepts connections at its readiness address, or a keeper serves its control API."""
     if role == "keeper":
         return fleet.serves_control(0)
     try:
@@ -33,7 +34,7 @@
 
 @pytest.mark.xdist_group("processes")
 @pytest.mark.parametrize("role", ["router", "keeper"])
-def test_a_process_that_gets_sighup_as_it_starts_lives_on(role: str, tmp_path: Path) -> None:
+def test_a_process_survives_a_sighup_during_its_start(role: str, tmp_path: Path) -> None:
     fleet = Fleet(1, 1, tmp_path, first=240)
     address = fleet.routers[0] if role == "router" else fleet.keepers[0]
     settings = json.dumps(fleet.settings(address, role))
@@ -47,25 +48,25 @@
     )
     fleet.processes[address] = process
     try:
-        with path.open("w") as pipe:  # it is open once the process reads
+        with path.open("w") as pipe:  # blocks until the process opens it for reading
             process.send_signal(signal.SIGHUP)
-            later = tmp_path / "later.json"
-            later.write_text(settings)
-            later.rename(path)  # what SIGHUP has it read
+            replacement = tmp_path / "later.json"
+            replacement.write_text(settings)
+            replacement.rename(path)  # the process reads this file when it handles SIGHUP
             pipe.write(settings)
-        wait_for(lambda: listening(fleet, role) or process.poll() is not None, f"{role} listening")
+        wait_for(lambda: is_listening(fleet, role) or process.poll() is not None, f"{role} listening")
         assert process.poll() is None, f"the process ended with {process.returncode}"
     finally:
         fleet.close()
 
 
 @pytest.mark.xdist_group("processes")
-def test_sighup_has_a_router_read_its_settings_again(tmp_path: Path) -> None:
+def test_sighup_makes_a_router_reload_its_settings(tmp_path: Path) -> None:
     fleet = Fleet(1, 1, tmp_path, first=240)
     router = fleet.routers[0]
     try:
         fleet.start(router)
-        wait_for(lambda: listening(fleet, "router"), "router listening")
+        wait_for(lambda: is_listening(fleet, "router"), "router listening")
         (tmp_path / f"{router}.json").write_text("no settings")
         fleet.processes[router].send_signal(signal.SIGHUP)
         log = tmp_path / f"{router}.log"
--- a/tests/cluster/test_transport.py
+++ b/tests/cluster/test_transport.py
@@ -1,4 +1,4 @@
-"""Connections between the processes of the fleet, over real sockets."""
+"""Message connections between the processes of the fleet, over real sockets."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @message(990)
 class Greeting:
-    """What the tests send."""
+    """Message that the tests send."""
 
     text: str
 
 
 class Recorder:
-    """Takes what comes on the connections of one side."""
+    """Listener that queues the messages that one side receives."""
 
     def __init__(self) -> None:
         self.messages: asyncio.Queue[Any] = asyncio.Queue()
@@ -53,7 +53,7 @@
         return host, port
 
 
-def test_what_is_sent_as_a_connection_opens_arrives() -> None:
+def test_a_message_sent_when_the_connection_opens_arrives() -> None:
     async def scenario() -> Any:
         address = free_address()
         server_side, client_side = Recorder(), Recorder()
@@ -68,20 +68,20 @@
     assert asyncio.run(scenario()) == Greeting("from the moment that it is open")
 
 
-def test_a_dialer_that_waits_tries_again_at_once_when_it_is_told_to(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_retry_now_ends_the_pause_of_a_dialer(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> Any:
         address = free_address()
         server_side, client_side = Recorder(), Recorder()
         refused = asyncio.Event()
-        monkeypatch.setattr(transport, "RETRY_S", 3600.0)
-        monkeypatch.setattr(transport, "RETRY_MOST_S", 3600.0)
+        monkeypatch.setattr(transport, "MIN_RETRY_PAUSE_S", 3600.0)
+        monkeypatch.setattr(transport, "MAX_RETRY_PAUSE_S", 3600.0)
         client_side.dialer = Dialer(address, hello, client_side)
         loop = asyncio.get_running_loop()
         create_connection = loop.create_connection
 
-        async def attempt(*given: Any) -> Any:
+        async def attempt(*arguments: Any) -> Any:
             try:
-                return await create_connection(*given)
+                return await create_connection(*arguments)
             except OSError:
                 loop.call_soon(refused.set)
                 raise
@@ -99,7 +99,7 @@
     assert asyncio.run(scenario()) == Greeting("from the moment that it is open")
 
 
-def test_bytes_that_are_no_message_end_the_connection() -> None:
+def test_invalid_bytes_close_the_connection() -> None:
     async def scenario() -> bytes:
         address = free_address()
         server = await serve(address, Recorder())
@@ -114,7 +114,7 @@
     assert asyncio.run(scenario()) == b""
 
 
-def test_a_ping_is_no_message_for_the_listener() -> None:
+def test_a_ping_is_not_passed_to_the_listener() -> None:
     async def scenario() -> Any:
         address = free_address()
         server_side, client_side = Recorder(), Recorder()
@@ -133,30 +133,33 @@
     assert asyncio.run(scenario()) == Greeting("after it")
 
 
-def noise(size: int) -> str:
-    """A text that does not compress to much less."""
+def random_text(size: int) -> str:
+    """A random hexadecimal text, which compresses poorly."""
     return random.Random(size).randbytes(size // 2).hex()
 
 
 @pytest.mark.parametrize("size", [0, 100, 5_000, 100_000, 3_000_000])
 @pytest.mark.parametrize("step", [1_000, 65_536])
-def test_long_messages_are_compressed_and_come_whole_in_fragments(size: int, step: int) -> None:
-    told = [Greeting(noise(size)), Greeting("short"), Greeting("x" * size)]
-    whole, others = frame(told[0]), [part for value in told[1:] for part in fragments(frame(value))]
-    data = b"".join((whole, *others))
+def test_long_messages_are_compressed_and_arrive_whole_in_fragments(size: int, step: int) -> None:
+    sent = [Greeting(random_text(size)), Greeting("short"), Greeting("x" * size)]
+    unfragmented, fragmented = (
+        frame(sent[0]),
+        [part for value in sent[1:] for part in fragments(frame(value))],
+    )
+    data = b"".join((unfragmented, *fragmented))
     reader = FrameReader()
     steps = range(0, len(data), step)
-    found = [value for start in steps for value in reader.feed(data[start : start + step])]
-    assert found == told
-    assert len(frame(told[2])) <= 5_000 + size // 100
+    received = [value for start in steps for value in reader.feed(data[start : start + step])]
+    assert received == sent
+    assert len(frame(sent[2])) <= 5_000 + size // 100
 
 
-def test_a_short_message_goes_between_the_fragments_of_a_long_one() -> None:
-    long, short = Greeting(noise(10 * FRAGMENT_BYTES)), Greeting("urgent")
+def test_a_short_message_can_be_sent_between_the_fragments_of_a_long_one() -> None:
+    long, short = Greeting(random_text(10 * FRAGMENT_BYTES)), Greeting("urgent")
     parts = list(fragments(frame(long)))
     reader = FrameReader()
-    found = [value for part in (*parts[:2], frame(short), *parts[2:]) for value in reader.feed(part)]
-    assert found == [short, long]
+    received = [value for part in (*parts[:2], frame(short), *parts[2:]) for value in reader.feed(part)]
+    assert received == [short, long]
 
 
 @pytest.mark.parametrize(
@@ -169,13 +172,13 @@
         b"\x40\x00\x00\x00",
     ],
 )
-def test_frames_in_no_form_are_told(data: bytes) -> None:
+def test_malformed_frames_raise_an_error(data: bytes) -> None:
     with pytest.raises(MessageError):
         FrameReader().feed(data)
 
 
 def test_urgent_messages_do_not_wait_for_a_peer_that_reads_slowly() -> None:
-    """The long message fills the sockets; what is urgent comes before its end, all else behind it."""
+    """A long message fills the socket buffers: an urgent one arrives before its end, any other after it."""
 
     async def scenario() -> list[str]:
         address = free_address()
@@ -185,12 +188,12 @@
         async with asyncio.timeout(WAIT_S):
             while dialer.channel is None or not dialer.channel.open:
                 await asyncio.sleep(0)
-            dialer.send(Greeting(noise(8_000_000)))
+            dialer.send(Greeting(random_text(8_000_000)))
             dialer.send(Greeting("behind"))
             dialer.send(Greeting("urgent"), urgent=True)
-            found = [await server_side.messages.get() for _ in range(3)]
+            received = [await server_side.messages.get() for _ in range(3)]
         dialer.close()
         server.close()
-        return [value.text if len(value.text) < 10 else "long" for value in found]
+        return [value.text if len(value.text) < 10 else "long" for value in received]
 
     assert asyncio.run(scenario()) == ["urgent", "long", "behind"]
