--- a/pebbledrift/chain/link.py
+++ b/pebbledrift/chain/link.py
@@ -22,7 +22,7 @@
 from pebbledrift.chain.outbox import Outbox
 from pebbledrift.chain.transfer import SnapshotSource
 from pebbledrift.chain.view import address_of
-from pebbledrift.control.orders import Judgement, Order
+from pebbledrift.control.orders import Order, OrderResult
 
 JOIN_AGAIN_S, JOIN_AGAIN_GROWTH, JOIN_AGAIN_MOST_S = 0.05, 1.5, 2.0  # until the predecessor has answered
 POLL_S = 0.3  # a member that has joined asks so often whether anything got lost on the way to it
@@ -319,7 +319,7 @@
 
     # barriers
 
-    def start_barrier(self, call: CallId, judgement: Judgement | None) -> None:
+    def start_barrier(self, call: CallId, judgement: OrderResult | None) -> None:
         """At the head: let a verdict or a read run down the chain, behind all entries so far."""
         self.on_barrier(Barrier(self.epoch, 0, self.log.last.sequence, call, judgement))
 
--- a/pebbledrift/chain/messages.py
+++ b/pebbledrift/chain/messages.py
@@ -6,7 +6,7 @@
 
 from pebbledrift.chain.view import View
 from pebbledrift.cluster.codec import message
-from pebbledrift.control.orders import Judgement, Order
+from pebbledrift.control.orders import Order, OrderResult
 
 
 class Stamp(NamedTuple):
@@ -181,7 +181,7 @@
     position: int  # in the chain, of whom it is for
     after: int
     call: CallId
-    judgement: Judgement | None
+    judgement: OrderResult | None
 
 
 @message(75)
@@ -232,7 +232,7 @@
 
     call: CallId
     epoch: int  # of the chain that gave it
-    judgement: Judgement | None
+    judgement: OrderResult | None
     committed: tuple[int, int]
 
 
--- a/pebbledrift/chain/requests.py
+++ b/pebbledrift/chain/requests.py
@@ -11,12 +11,12 @@
 from pebbledrift.chain.messages import Answer, Barrier, CallId, NotHead, Submit
 from pebbledrift.chain.outbox import Outbox
 from pebbledrift.chain.view import address_of
-from pebbledrift.control.orders import Check, ConfigurationState, Judgement, Order, Verdict
+from pebbledrift.control.orders import Check, ConfigurationState, Order, OrderResult, OrderStatus
 
 AGAIN_S = 0.4  # a call without an answer is handed to the head again
 PENDING_MOST = 256
 REFUSED_MOST = 4096  # refused calls of an epoch that are remembered at its head
-Done = Callable[[Judgement | None], None]
+Done = Callable[[OrderResult | None], None]
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
         self._pending: dict[CallId, PendingCall] = {}
         self._number = 0
         self._state: ConfigurationState | None = None  # with all entries; at the head only
-        self._refused: dict[CallId, Judgement] = {}  # in this epoch, at the head
+        self._refused: dict[CallId, OrderResult] = {}  # in this epoch, at the head
 
     # where the call was made
 
@@ -72,7 +72,7 @@
         head = address_of(view.chain[0].node)
         self.outbox.send(head, Submit(call.id, view.epoch, call.order))
 
-    def _finish(self, call: PendingCall, judgement: Judgement | None) -> None:
+    def _finish(self, call: PendingCall, judgement: OrderResult | None) -> None:
         if self._pending.pop(call.id, None) is not None:
             call.done(judgement)
 
@@ -109,10 +109,10 @@
     def on_commit(self) -> None:
         """Our own state has moved on: calls that it answers are at their end."""
         for call in list(self._pending.values()):
-            if (call.order is not None and call.order.digest in self.log.state.taken) or (
+            if (call.order is not None and call.order.digest in self.log.state.accepted) or (
                 call.read_at is not None and self.log.committed.sequence >= call.read_at
             ):
-                self._finish(call, Judgement(Verdict.TAKEN))
+                self._finish(call, OrderResult(OrderStatus.ACCEPTED))
 
     # at the head
 
@@ -133,20 +133,20 @@
             self.link.start_barrier(message.call, None)
             return
         judgement = self._refused.get(message.call) or self._judge(message.order)
-        if judgement.verdict == Verdict.TAKEN:
+        if judgement.status == OrderStatus.ACCEPTED:
             self.link.append(message.order)
             return
         self._remember_refusal(message.call, judgement)
         self.link.start_barrier(message.call, judgement)
 
-    def _judge(self, order: Order) -> Judgement:
+    def _judge(self, order: Order) -> OrderResult:
         if self._state is None:
             self._state = self.log.speculative(self._check)
         return self._state.apply(order)
 
-    def _remember_refusal(self, call: CallId, judgement: Judgement) -> None:
+    def _remember_refusal(self, call: CallId, judgement: OrderResult) -> None:
         """A copy of a refused call that comes late is refused again, whatever is in force by then."""
-        if judgement.verdict == Verdict.TAKEN_BEFORE:
+        if judgement.status == OrderStatus.ALREADY_ACCEPTED:
             return
         self._refused[call] = judgement
         while len(self._refused) > REFUSED_MOST:
--- a/pebbledrift/console/commands/config.py
+++ b/pebbledrift/console/commands/config.py
@@ -16,7 +16,7 @@
 from pebbledrift.console.documents import read_object, write_private
 from pebbledrift.console.errors import ConsoleError, ExitCode, FaultyConfiguration
 from pebbledrift.console.fleet_status import collect
-from pebbledrift.control.orders import ConfigurationState, Order, OrderKind, Verdict
+from pebbledrift.control.orders import ConfigurationState, Order, OrderKind, OrderStatus
 from pebbledrift.control.schema import check
 
 FILE = argument("file", description="A configuration (JSON).")
@@ -38,7 +38,7 @@
     state.config = base
     order = Order(OrderKind.UPDATE, base["revision"], json.dumps(change).encode())
     judgement = state.apply(order)
-    if judgement.verdict != Verdict.TAKEN:
+    if judgement.status != OrderStatus.ACCEPTED:
         raise FaultyConfiguration(judgement.reason.split("; "))
     return state.config
 
--- a/pebbledrift/control/__init__.py
+++ b/pebbledrift/control/__init__.py
@@ -1,1 +1,1 @@
-"""The state that keepers hold for the fleet, without I/O: configurations, worker instances, token quotas."""
+"""Control state that keepers hold for the fleet, without I/O: configuration, instances, token quotas."""
--- a/pebbledrift/control/orders.py
+++ b/pebbledrift/control/orders.py
@@ -1,4 +1,8 @@
-"""The operator's orders: how one is judged against the configuration in place, and what it leads to."""
+"""Configuration changes ("orders") from operators: validation and optimistic concurrency control.
+
+Every order names the revision that it builds on. It is accepted only if that revision is in force, and
+refused as a conflict otherwise.
+"""
 
 from __future__ import annotations
 
@@ -12,30 +16,30 @@
 from pebbledrift.cluster.errors import InvalidConfiguration
 
 DIGEST_BYTES = 16
-TAKEN_MOST = 8192  # digests kept of orders that were taken: a day has hundreds
-Check = Callable[[object], None]
+MAX_ACCEPTED_DIGESTS = 8192  # digests kept to recognize a resent order; a day has hundreds of orders
+Check = Callable[[object], None]  # raises InvalidConfiguration for a configuration that cannot be used
 Config = dict[str, Any]
 
 
 class OrderKind(IntEnum):
-    """What an order brings."""
+    """What the body of an order holds."""
 
-    REPLACE = 0  # a whole configuration
+    REPLACE = 0  # a complete configuration
     UPDATE = 1  # items to add, replace or remove
 
 
-class Verdict(IntEnum):
-    """How an order was judged."""
+class OrderStatus(IntEnum):
+    """Whether an order was accepted, or why it was refused."""
 
-    TAKEN = 0
-    TAKEN_BEFORE = 1
-    CONFLICT = 2  # another version is in place
-    INVALID = 3
+    ACCEPTED = 0
+    ALREADY_ACCEPTED = 1  # the same order was accepted earlier and was sent again
+    CONFLICT = 2  # the order builds on a revision that is not in force
+    INVALID = 3  # the order cannot be read, or the resulting configuration is invalid
 
 
 @message(20)
 class Order:
-    """One call of the operator."""
+    """A configuration change from an operator: its kind, its base revision, and its body in JSON."""
 
     kind: int
     base: int
@@ -43,20 +47,21 @@
 
     @property
     def digest(self) -> bytes:
-        """The same for a call that is sent again."""
+        """Identifies the order; a resent copy has the same digest."""
         head = f"{self.kind} {self.base} ".encode()
         return hashlib.blake2b(head + self.body, digest_size=DIGEST_BYTES).digest()
 
 
 @message(21)
-class Judgement:
-    """The verdict on an order, with the reason of a refusal."""
+class OrderResult:
+    """The status of an evaluated order (an OrderStatus), with the reason if it was refused."""
 
-    verdict: int
+    status: int
     reason: str = ""
 
 
 def _parse(body: bytes) -> Config:
+    """Decode a JSON object; raise InvalidConfiguration for anything else."""
     try:
         data = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -66,26 +71,28 @@
     return data
 
 
-def _named(items: object, place: str) -> list[Any]:
+def _item_list(items: object, path: str) -> list[Any]:
+    """The value at a path as a list, empty if it is absent; raise InvalidConfiguration for another type."""
     if items is None:
         return []
     if not isinstance(items, list):
-        raise InvalidConfiguration([f"{place}: not a list"])
+        raise InvalidConfiguration([f"{path}: not a list"])
     return items
 
 
-def _changed_section(current: list[Any], upsert: list[Any], delete: list[Any], place: str) -> list[Any]:
-    """A list of named items after items were removed, and others added or replaced in their place."""
-    for number, item in enumerate(upsert):
+def _changed_section(current: list[Any], upsert: list[Any], delete: list[Any], section: str) -> list[Any]:
+    """Apply deletions and upserts to a list of named items; a replaced item keeps its position."""
+    for index, item in enumerate(upsert):
         if not isinstance(item, dict) or not isinstance(item.get("name"), str):
-            raise InvalidConfiguration([f"upsert.{place}[{number}]: an object with a name is needed"])
+            raise InvalidConfiguration([f"upsert.{section}[{index}]: an object with a name is needed"])
     removed = {name for name in delete if isinstance(name, str)}
     replaced = {item["name"]: item for item in upsert}
     kept = [replaced.pop(item["name"], item) for item in current if item["name"] not in removed]
     return kept + list(replaced.values())
 
 
-def _section(data: Config, key: str) -> Config:
+def _object(data: Config, key: str) -> Config:
+    """The object under a key, empty if it is absent; raise InvalidConfiguration for another type."""
     value = data.get(key)
     if value is None:
         return {}
@@ -95,47 +102,54 @@
 
 
 def _updated(current: Config, change: Config) -> Config:
-    """The configuration after a change of named items."""
-    upsert, delete = _section(change, "upsert"), _section(change, "delete")
+    """Return the current configuration with the upserts and deletions of an update applied."""
+    upsert, delete = _object(change, "upsert"), _object(change, "delete")
     result = dict(current)
-    for place in {*upsert, *delete}:
-        if place == "limits":
-            result["limits"] = {**current.get("limits", {}), **_section(upsert, "limits")}
+    for section in {*upsert, *delete}:
+        if section == "limits":
+            result["limits"] = {**current.get("limits", {}), **_object(upsert, "limits")}
             continue
-        present = _named(current.get(place), place)
-        changed = _named(upsert.get(place), f"upsert.{place}")
-        result[place] = _changed_section(
-            present, changed, _named(delete.get(place), f"delete.{place}"), place
+        items = _item_list(current.get(section), section)
+        upserted = _item_list(upsert.get(section), f"upsert.{section}")
+        result[section] = _changed_section(
+            items, upserted, _item_list(delete.get(section), f"delete.{section}"), section
         )
     result["revision"] = change.get("revision")
     return result
 
 
 class ConfigurationState:
-    """The configuration in place and the orders that led to it; changes only by `apply`."""
+    """The configuration in force and the digests of recently accepted orders.
+
+    Only `apply` and `restore` change it.
+    """
 
     def __init__(self, check: Check) -> None:
         self._check = check
         self.config: Config | None = None
-        self.taken: dict[bytes, int] = {}  # digest of each order taken, oldest first, with its revision
+        self.accepted: dict[bytes, int] = {}  # digest of each accepted order to its revision, oldest first
 
     @property
     def revision(self) -> int:
-        """The version in place; 0 before the first."""
+        """The revision in force; 0 before the first configuration."""
         return 0 if self.config is None else int(self.config["revision"])
 
-    def judge(self, order: Order) -> tuple[Judgement, Config | None]:
-        """What would become of an order now, and the configuration that it leads to."""
-        if order.digest in self.taken:
-            return Judgement(Verdict.TAKEN_BEFORE), None
+    def evaluate(self, order: Order) -> tuple[OrderResult, Config | None]:
+        """Evaluate an order without applying it.
+
+        Returns its result and the resulting configuration, or None unless the order is newly accepted.
+        """
+        if order.digest in self.accepted:
+            return OrderResult(OrderStatus.ALREADY_ACCEPTED), None
         if order.base != self.revision:
-            return Judgement(Verdict.CONFLICT, f"version {self.revision} is in place"), None
+            return OrderResult(OrderStatus.CONFLICT, f"version {self.revision} is in place"), None
         try:
-            return Judgement(Verdict.TAKEN), self._result(order)
+            return OrderResult(OrderStatus.ACCEPTED), self._resulting_config(order)
         except InvalidConfiguration as error:
-            return Judgement(Verdict.INVALID, str(error)), None
+            return OrderResult(OrderStatus.INVALID, str(error)), None
 
-    def _result(self, order: Order) -> Config:
+    def _resulting_config(self, order: Order) -> Config:
+        """The valid configuration that an order leads to; raise InvalidConfiguration if there is none."""
         data = _parse(order.body)
         if order.kind == OrderKind.UPDATE:
             if self.config is None:
@@ -146,28 +160,28 @@
             raise InvalidConfiguration([f"revision: {data['revision']} is not above {self.revision}"])
         return data
 
-    def apply(self, order: Order) -> Judgement:
-        """Take an order that was judged as taken at this very state."""
-        judgement, config = self.judge(order)
+    def apply(self, order: Order) -> OrderResult:
+        """Evaluate an order and, if it is accepted, put its configuration into force."""
+        result, config = self.evaluate(order)
         if config is not None:
             self.config = config
-            self.taken[order.digest] = self.revision
-            while len(self.taken) > TAKEN_MOST:
-                del self.taken[next(iter(self.taken))]
-        return judgement
+            self.accepted[order.digest] = self.revision
+            while len(self.accepted) > MAX_ACCEPTED_DIGESTS:
+                del self.accepted[next(iter(self.accepted))]
+        return result
 
     def copy(self, check: Check) -> ConfigurationState:
-        """Another state that begins as this one; configurations are never changed in place."""
+        """Return an independent copy with its own check; configurations are immutable, so they are shared."""
         other = ConfigurationState(check)
-        other.config, other.taken = self.config, dict(self.taken)
+        other.config, other.accepted = self.config, dict(self.accepted)
         return other
 
     def dump(self) -> tuple[bytes, list[tuple[bytes, int]]]:
-        """The state as plain values."""
+        """Return the state for `restore`: the configuration in JSON (empty if none), the accepted digests."""
         config = b"" if self.config is None else json.dumps(self.config, separators=(",", ":")).encode()
-        return config, list(self.taken.items())
+        return config, list(self.accepted.items())
 
-    def restore(self, config: bytes, taken: list[tuple[bytes, int]]) -> None:
-        """Take a state over that `dump` told."""
+    def restore(self, config: bytes, accepted: list[tuple[bytes, int]]) -> None:
+        """Replace the state by one that `dump` returned."""
         self.config = json.loads(config) if config else None
-        self.taken = {bytes(digest): revision for digest, revision in taken}
+        self.accepted = {bytes(digest): revision for digest, revision in accepted}
--- a/pebbledrift/control/quota.py
+++ b/pebbledrift/control/quota.py
@@ -1,4 +1,8 @@
-"""Tokens of the tenants, lent to the routers by the one keeper that acts for all."""
+"""Tenants' token quotas. The keeper that is head of the chain lends parts of them to the routers.
+
+Two limits apply to each quota: a token bucket, which bounds peaks, and a sliding window, over which the quota
+is measured. The unit of a quota, called tokens here, is model tokens or requests as the configuration says.
+"""
 
 from __future__ import annotations
 
@@ -11,33 +15,33 @@
 
 from spoolpier.records import record
 
-LEAST_BURST_S = 0.25
-FIRST_SHARE = 0.3  # of a burst, to begin with: others may have lent the rest just before
-UNKNOWN_SHARE = 0.5  # of a router's part that counts as taken for the time before its restart
-RESTART_S = 0.2  # a restart takes so long at least, and nothing is taken meanwhile
-WINDOW_RETRY_S = 0.3  # told where the window is used up
-HISTORY_STEP_S = 0.05  # spending is counted together for so long
-SLOT_S = 0.5  # and told in slots of so long
-DEPTH = 1.6  # bursts that may be saved up: the window bounds what is lent, a short peak shall pass
-WINDOW_MARGIN_S = 0.5  # what is lent arrives at its worker later: a window reaches back so much further
-OVERSHOOT_SHARE = 0.5  # of what a quota may be overshot by, the rest is for what a new head cannot know
+MIN_BURST_S = 0.25  # smallest usable burst, in seconds of the rate
+INITIAL_FILL_SHARE = 0.3  # initial fill of a new bucket; the previous lender may just have lent the rest
+UNKNOWN_SPENDING_SHARE = 0.5  # of a router's equal part, assumed as spent in the time before its restart
+MIN_RESTART_S = 0.2  # shortest duration of a restart; a router spends nothing meanwhile
+WINDOW_RETRY_S = 0.3  # retry delay returned to the borrower if the window is used up
+HISTORY_STEP_S = 0.05  # spending within this time is merged into one history entry
+SLOT_S = 0.5  # length of a time slot in spending reports
+BUCKET_DEPTH_BURSTS = 1.6  # bucket capacity; above 1 so that short peaks pass, as the window bounds the total
+WINDOW_MARGIN_S = 0.5  # added to the window's span, because lent tokens reach the worker with a delay
+OVERSHOOT_SHARE = 0.5  # part of the allowed overshoot to lend; the rest covers spending unknown to a new head
 
 
 class LoanPriority(IntEnum):
-    """Which requests of a tenant go first where its quota runs out."""
+    """Order in which a tenant's requests are served when its quota runs short."""
 
-    SMALL = 0  # a fraction of the tenant's usual cost: many of them are served for one large one
-    URGENT = 1  # of the most urgent routes
+    SMALL = 0  # costs a fraction of the tenant's usual request, so many fit into the cost of a large one
+    URGENT = 1  # requests on the routes of highest priority
     ORDINARY = 2
 
 
-# Share of a burst that is kept for requests that go before these.
-RESERVES = {LoanPriority.SMALL: 0.0, LoanPriority.URGENT: 0.05, LoanPriority.ORDINARY: 0.3}
+# Share of a burst that is reserved for requests of higher priority than the key.
+RESERVED_SHARES = {LoanPriority.SMALL: 0.0, LoanPriority.URGENT: 0.05, LoanPriority.ORDINARY: 0.3}
 
 
 @dataclass(slots=True)
 class Bucket:
-    """What may still be spent: grows by `rate` a second up to `burst`."""
+    """A token bucket that fills by `rate` tokens per second up to `burst`; last refilled at `at`."""
 
     rate: float
     burst: float
@@ -45,26 +49,29 @@
     at: float
 
     def refill(self, now: float) -> None:
-        """Count the time since the last call."""
+        """Add the tokens for the time since the last refill."""
         grown = self.level + max(0.0, now - self.at) * self.rate
         self.level, self.at = min(grown, self.burst), max(now, self.at)
 
-    def take(self, need: float, want: float, keep: float = 0.0) -> float:
-        """Take what is wanted, or at least what is needed; 0 where there is not even that beside `keep`."""
-        if self.level - keep < min(need, self.burst - keep):
+    def take(self, need: float, want: float, reserved: float = 0.0) -> float:
+        """Remove and return up to `want` tokens, at least `need`; 0 if `need` would cut into `reserved`.
+
+        A need above the capacity is granted from a full bucket, whose level then becomes negative.
+        """
+        if self.level - reserved < min(need, self.burst - reserved):
             return 0.0
-        taken = max(need, min(want, self.level - keep))
-        self.level -= taken
-        return taken
+        granted = max(need, min(want, self.level - reserved))
+        self.level -= granted
+        return granted
 
     def wait_for(self, need: float) -> float:
-        """Seconds until as much has grown."""
+        """Seconds until the bucket holds `need` tokens; 60 if the rate is 0."""
         return max(0.0, need - self.level) / self.rate if self.rate > 0 else 60.0
 
 
 @dataclass(slots=True)
-class _Step:
-    """What was taken within a short time: it counts as long as its last token does."""
+class _SpendingStep:
+    """Tokens spent within HISTORY_STEP_S; all of them expire with the last one."""
 
     began: float
     last: float
@@ -72,70 +79,70 @@
 
 
 class SpendingHistory:
-    """What was taken of one tenant's quota in the last `span_s` seconds."""
+    """Tokens spent of one tenant's quota in the last `span_s` seconds."""
 
     def __init__(self, span_s: float) -> None:
         self._span_s = span_s
-        self._taken: deque[_Step] = deque()
+        self._steps: deque[_SpendingStep] = deque()
         self._total = 0.0
 
     def add(self, tokens: float, at: float) -> None:
-        """Count tokens that were taken at a time, not before any that were counted."""
+        """Record tokens spent at a time, which must not be earlier than that of any previous call."""
         self.total(at)
         self._total += tokens
-        newest = self._taken[-1] if self._taken else None
+        newest = self._steps[-1] if self._steps else None
         if newest is not None and at - newest.began < HISTORY_STEP_S:
             newest.last, newest.tokens = at, newest.tokens + tokens
         else:
-            self._taken.append(_Step(at, at, tokens))
+            self._steps.append(_SpendingStep(at, at, tokens))
 
     def total(self, now: float) -> float:
-        """All that was taken in the span."""
-        while self._taken and now - self._taken[0].last > self._span_s:
-            self._total -= self._taken.popleft().tokens
-        return self._total if self._taken else 0.0
+        """Tokens spent within the span before `now`."""
+        while self._steps and now - self._steps[0].last > self._span_s:
+            self._total -= self._steps.popleft().tokens
+        return self._total if self._steps else 0.0
 
     def slots(self, now: float) -> tuple[float, ...]:
-        """What was taken in each half second before now, the newest first."""
+        """Tokens spent in each time slot of SLOT_S before `now`, the newest first."""
         self.total(now)
         slots = [0.0] * math.ceil(self._span_s / SLOT_S)
-        for step in self._taken:
+        for step in self._steps:
             slots[min(len(slots) - 1, max(0, int((now - step.last) / SLOT_S)))] += step.tokens
         return tuple(slots)
 
-    def replace(self, spent: Iterable[Spent]) -> None:
-        """Take over what others told."""
-        self._taken.clear()
+    def replace(self, spending: Iterable[SpendingSlot]) -> None:
+        """Replace the history by the given time slots, in any order."""
+        self._steps.clear()
         self._total = 0.0
-        for each in sorted(spent, key=lambda one: one.at):
-            self.add(each.tokens, each.at)
+        for slot in sorted(spending, key=lambda slot: slot.at):
+            self.add(slot.tokens, slot.at)
 
 
 @record
-class Spent:
-    """Tokens that were taken within half a second, around a time."""
+class SpendingSlot:
+    """Tokens spent within one time slot of SLOT_S; `at` is the middle of the slot."""
 
     at: float
     tokens: float
 
     def after(self, time: float) -> float:
-        """The part of them that was taken after a time, if they were taken evenly."""
-        part = (self.at + SLOT_S / 2 - time) / SLOT_S
-        return self.tokens * min(1.0, max(0.0, part))
+        """Tokens of this slot that were spent after `time`, assuming an even rate within the slot."""
+        fraction = (self.at + SLOT_S / 2 - time) / SLOT_S
+        return self.tokens * min(1.0, max(0.0, fraction))
 
 
 @record
 class SpendingReport:
-    """What a router has taken of each quota in each half second, the newest first, since it started."""
+    """A router's spending since it started: by tenant, the tokens in each time slot, the newest first."""
 
-    age_s: float
-    taken: Mapping[str, Sequence[float]]
-    told_at: float = 0.0
+    age_s: float  # time since the router started
+    spent: Mapping[str, Sequence[float]]
+    received_at: float = 0.0
 
 
 @record
 class TenantQuota:
-    """A tenant's agreed rate, in tokens or requests a second."""
+    """A tenant's configured quota, in tokens or requests per second."""
 
     name: str
     rate: float
@@ -145,110 +152,113 @@
 
 
 def quotas_of(config: dict[str, Any] | None) -> list[TenantQuota]:
-    """The quotas that a configuration sets; a rate of 0 is no limit."""
-    found = []
+    """Return the quotas in a configuration, without tenants whose rate is 0: they have no limit."""
+    quotas = []
     for tenant in (config or {}).get("tenants") or []:
         rate = float(tenant.get("rate-per-s") or 0.0)
         if rate > 0:
             in_tokens = tenant.get("unit") == "tokens"
-            plain = float(tenant.get("uncached-tokens") or 0.0)
-            found.append(
-                TenantQuota(tenant["name"], rate, float(tenant.get("burst") or 0.0), in_tokens, plain)
+            uncached_tokens = float(tenant.get("uncached-tokens") or 0.0)
+            quotas.append(
+                TenantQuota(
+                    tenant["name"], rate, float(tenant.get("burst") or 0.0), in_tokens, uncached_tokens
+                )
             )
-    return found
+    return quotas
 
 
 def usable_burst(rate: float, burst: float) -> float:
-    """What may be saved up: without a burst, a part of a second's rate, or nothing large would ever pass."""
-    return max(burst, LEAST_BURST_S * rate)
+    """The effective burst: at least MIN_BURST_S of the rate, or no large request would ever pass."""
+    return max(burst, MIN_BURST_S * rate)
 
 
 @record
 class QuotaWindow:
-    """How a quota is judged: over each span, with what it may be overshot by."""
+    """The sliding window over which a quota is measured, and the allowed overshoot."""
 
     span_s: float = 8.0
-    overshoot: float = 0.1
+    overshoot: float = 0.1  # fraction of the quota
 
     @property
     def remembered_s(self) -> float:
-        """For how long what was taken counts."""
+        """How long spent tokens count, in seconds."""
         return self.span_s + WINDOW_MARGIN_S
 
-    def most(self, rate: float, burst: float) -> float:
-        """What may be lent in one window."""
+    def max_lent(self, rate: float, burst: float) -> float:
+        """Maximum number of tokens that may be lent in one window."""
         return (rate * self.span_s + burst) * (1.0 + OVERSHOOT_SHARE * self.overshoot)
 
 
 @dataclass(slots=True)
 class _Account:
-    """One tenant's quota, what is saved up of it and what was lent lately, by us and before us."""
+    """One tenant's quota, its bucket, and recent loans by this lender and spending before it took over."""
 
     quota: TenantQuota
     bucket: Bucket
     lent: SpendingHistory
-    before: SpendingHistory
+    spent_before: SpendingHistory
 
     @property
     def burst(self) -> float:
-        """What the quota lets be saved up; the bucket is deeper."""
+        """The quota's effective burst; the bucket's capacity is BUCKET_DEPTH_BURSTS times as large."""
         return usable_burst(self.quota.rate, self.quota.burst)
 
-    def room(self, window: QuotaWindow, now: float) -> float:
-        """What may still be lent in the window."""
-        most = window.most(self.quota.rate, self.burst)
-        return most - self.lent.total(now) - self.before.total(now)
+    def available(self, window: QuotaWindow, now: float) -> float:
+        """Tokens that may still be lent in the window."""
+        max_lent = window.max_lent(self.quota.rate, self.burst)
+        return max_lent - self.lent.total(now) - self.spent_before.total(now)
 
 
-class TokenBank:
-    """The accounts of all tenants: each a bucket, for peaks, under the window that the quota is judged by."""
+class QuotaLender:
+    """Lends tokens of the tenants' quotas, each limited by its bucket and window. Times are in seconds."""
 
     def __init__(self, window: QuotaWindow) -> None:
         self._window = window
         self._accounts: dict[str, _Account] = {}
 
     def clear(self) -> None:
-        """Begin anew, with little to lend until the routers have told what they took."""
+        """Drop all accounts; new ones lend little until `reconcile` has the routers' spending reports."""
         self._accounts.clear()
 
-    def settle(self, reports: Sequence[SpendingReport], routers: int, now: float) -> None:
-        """Raise what may be lent to what is left, by what the routers have taken.
+    def reconcile(self, reports: Sequence[SpendingReport], routers: int, now: float) -> None:
+        """Raise the bucket levels to what is left of the quotas according to the routers' spending reports.
 
-        Whoever has not told counts with its equal part. So does, by half, one that does not know what it took
-        before its restart: at worst the rest is lent twice, well within what a quota may be overshot by.
+        A router without a report is assumed to have spent its equal part of the quota. For the time before a
+        router's restart, which its report does not cover, half of that part is assumed. At worst the other
+        half is lent twice, which is well within the allowed overshoot.
         """
         for name, account in self._accounts.items():
-            spent = self._spent_before(name, account.quota.rate, reports, routers, now)
-            account.before.replace(spent)
+            spending = self._spending_before(name, account.quota.rate, reports, routers, now)
+            account.spent_before.replace(spending)
             bucket = account.bucket
             bucket.refill(now)
             since = now - bucket.burst / bucket.rate
-            recent = sum(each.after(since) for each in spent) + account.lent.total(now)
+            recent = sum(slot.after(since) for slot in spending) + account.lent.total(now)
             bucket.level = max(bucket.level, bucket.burst - recent)
 
-    def _spent_before(
+    def _spending_before(
         self, name: str, rate: float, reports: Sequence[SpendingReport], routers: int, now: float
-    ) -> list[Spent]:
-        """What all routers together took before this bank began to lend."""
-        part = rate * SLOT_S / max(1, routers, len(reports))
-        silent = max(0, routers - len(reports)) * part
+    ) -> list[SpendingSlot]:
+        """Reported and assumed spending of all routers before this lender took over."""
+        equal_part = rate * SLOT_S / max(1, routers, len(reports))  # of one router in one time slot
+        unreported = max(0, routers - len(reports)) * equal_part
         count = math.ceil(self._window.remembered_s / SLOT_S)
-        spent = [Spent(_middle(now, index), silent) for index in range(count)]
+        spending = [SpendingSlot(_slot_middle(now, index), unreported) for index in range(count)]
         for report in reports:
-            taken = report.taken.get(name, ())
-            known = (report.age_s + RESTART_S) / SLOT_S
+            spent = report.spent.get(name, ())
+            covered_slots = (report.age_s + MIN_RESTART_S) / SLOT_S
             for index in range(count):
-                unknown = min(1.0, max(0.0, index + 1 - known))
-                told = taken[index] if index < len(taken) else 0.0
-                tokens = told + UNKNOWN_SHARE * unknown * part
-                spent.append(Spent(_middle(report.told_at, index), tokens))
-        return spent
+                unknown_fraction = min(1.0, max(0.0, index + 1 - covered_slots))
+                reported = spent[index] if index < len(spent) else 0.0
+                tokens = reported + UNKNOWN_SPENDING_SHARE * unknown_fraction * equal_part
+                spending.append(SpendingSlot(_slot_middle(report.received_at, index), tokens))
+        return spending
 
     def configure(self, quotas: Iterable[TenantQuota], now: float) -> None:
-        """Follow a configuration."""
+        """Adopt the quotas of a configuration; existing accounts keep their history."""
         accounts = {}
         for quota in quotas:
-            depth = DEPTH * usable_burst(quota.rate, quota.burst)
+            depth = BUCKET_DEPTH_BURSTS * usable_burst(quota.rate, quota.burst)
             account = self._accounts.get(quota.name) or self._open(quota, depth, now)
             bucket = account.bucket
             bucket.refill(now)
@@ -258,43 +268,46 @@
         self._accounts = accounts
 
     def _open(self, quota: TenantQuota, depth: float, now: float) -> _Account:
-        """A new account: as if the whole rate had been taken all the time before."""
-        remembered = self._window.remembered_s
-        before = SpendingHistory(remembered)
-        count = int(remembered / SLOT_S)
-        before.replace([Spent(_middle(now, index), quota.rate * SLOT_S) for index in range(count)])
-        bucket = Bucket(quota.rate, depth, FIRST_SHARE * depth, now)
-        return _Account(quota, bucket, SpendingHistory(remembered), before)
+        """Return a new account, assuming that the full rate was spent throughout the window before `now`."""
+        span_s = self._window.remembered_s
+        spent_before = SpendingHistory(span_s)
+        count = int(span_s / SLOT_S)
+        spent_before.replace([SpendingSlot(_slot_middle(now, i), quota.rate * SLOT_S) for i in range(count)])
+        bucket = Bucket(quota.rate, depth, INITIAL_FILL_SHARE * depth, now)
+        return _Account(quota, bucket, SpendingHistory(span_s), spent_before)
 
     def status(self, now: float) -> dict[str, dict[str, float]]:
-        """By tenant: its rate and burst, and what of a window's most is lent."""
-        found = {}
+        """By tenant: rate, burst, tokens lent in the current window (`lent`) and their maximum (`most`)."""
+        status = {}
         for name, account in self._accounts.items():
-            most = self._window.most(account.quota.rate, account.burst)
-            lent = most - account.room(self._window, now)
+            max_lent = self._window.max_lent(account.quota.rate, account.burst)
+            lent = max_lent - account.available(self._window, now)
             quota = account.quota
-            found[name] = {"rate": quota.rate, "burst": quota.burst, "lent": lent, "most": most}
-        return found
+            status[name] = {"rate": quota.rate, "burst": quota.burst, "lent": lent, "most": max_lent}
+        return status
 
     def lend(
         self, tenant: str, need: float, want: float, now: float, priority: LoanPriority
     ) -> tuple[float, float]:
-        """What is lent, and after how long there may be enough."""
+        """Lend up to `want` tokens, at least `need`.
+
+        Returns the tokens lent, and the seconds after which to retry if that is 0.
+        """
         account = self._accounts.get(tenant)
         if account is None:
             return 0.0, 1.0
         bucket = account.bucket
         bucket.refill(now)
-        keep = RESERVES[priority] * account.burst
-        room = account.room(self._window, now) - keep
-        if room < need and bucket.burst > need:
+        reserved = RESERVED_SHARES[priority] * account.burst
+        available = account.available(self._window, now) - reserved
+        if available < need and bucket.burst > need:
             return 0.0, WINDOW_RETRY_S
-        granted = bucket.take(need, min(want, max(need, room)), keep)
+        granted = bucket.take(need, min(want, max(need, available)), reserved)
         if granted:
             account.lent.add(granted, now)
-        return granted, 0.0 if granted else bucket.wait_for(need + keep)
+        return granted, 0.0 if granted else bucket.wait_for(need + reserved)
 
 
-def _middle(told_at: float, index: int) -> float:
-    """The middle of a slot of half a second, the first of which ended when it was told."""
-    return told_at - (index + 0.5) * SLOT_S
+def _slot_middle(reported_at: float, index: int) -> float:
+    """The middle of a time slot; slot 0 ends at the time of the report."""
+    return reported_at - (index + 0.5) * SLOT_S
--- a/pebbledrift/control/registry.py
+++ b/pebbledrift/control/registry.py
@@ -1,4 +1,4 @@
-"""Worker instances as they register: newest word of each start wins, and what was told gone stays gone."""
+"""Registry of worker instances: the newest heartbeat of an instance wins, and an ended one stays ended."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from pebbledrift.cluster.codec import message
 
-GONE_MOST = 4096  # ended instances remembered, oldest forgotten first
-INSTANCES_MOST = 4096  # instances in service or draining
-TOLD_GONE_MOST = 256  # ended instances that a newcomer is told of
+MAX_GONE_INSTANCES = 4096  # ended instances remembered; the oldest are dropped first
+MAX_INSTANCES = 4096  # instances in service or draining
+MAX_GONE_IN_SNAPSHOT = 256  # most recently ended instances in a snapshot
 
 
 class InstanceState(IntEnum):
-    """What is known of one start of a worker; a later state is never followed by an earlier one."""
+    """Lifecycle state of an instance; it never changes to an earlier one."""
 
     READY = 0
     DRAINING = 1
@@ -23,7 +23,7 @@
 
 @message(30)
 class Instance:
-    """One start of a worker, as it was last heard."""
+    """One incarnation of a worker process, as its last accepted heartbeat described it."""
 
     id: str
     backend: str
@@ -38,17 +38,19 @@
 
 
 class MalformedHeartbeat(ValueError):
-    """A heartbeat that names no instance that could be used; the message names the key."""
+    """A heartbeat does not describe a usable instance; the message names the key at fault."""
 
 
 def _text(body: dict[str, Any], key: str, default: str | None = None) -> str:
+    """The string under a key; raises MalformedHeartbeat for another type."""
     value = body.get(key, default)
     if not isinstance(value, str):
         raise MalformedHeartbeat(f"{key}: a text is needed")
     return value
 
 
-def _whole(body: dict[str, Any], key: str, default: int) -> int:
+def _non_negative_int(body: dict[str, Any], key: str, default: int) -> int:
+    """The integer under a key, at least 0; raises MalformedHeartbeat for anything else."""
     value = body.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise MalformedHeartbeat(f"{key}: a whole number is needed")
@@ -56,7 +58,7 @@
 
 
 def parse_heartbeat(instance: str, body: object) -> Instance:
-    """The instance that a heartbeat's body tells of; raises MalformedHeartbeat."""
+    """Return the instance that the decoded body of a heartbeat describes; raises MalformedHeartbeat."""
     if not isinstance(body, dict):
         raise MalformedHeartbeat("body: not an object")
     state = _text(body, "state")
@@ -65,81 +67,86 @@
     host, _, port = _text(body, "address").rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise MalformedHeartbeat("address: IP:PORT is needed")
-    cold = body.get("cold-remaining-ms", 0)
+    cold_remaining_ms = body.get("cold-remaining-ms", 0)
     return Instance(
         id=instance,
         backend=_text(body, "backend"),
         address=f"{host}:{port}",
         zone=_text(body, "zone", ""),
         revision=_text(body, "revision", ""),
-        slots=_whole(body, "slots", 1),
+        slots=_non_negative_int(body, "slots", 1),
         state=InstanceState.READY if state == "ready" else InstanceState.DRAINING,
-        sequence=_whole(body, "sequence", 0),
+        sequence=_non_negative_int(body, "sequence", 0),
         stage=_text(body, "stage", ""),
-        cold_remaining_ms=float(cold) if isinstance(cold, int | float) else 0.0,
+        cold_remaining_ms=float(cold_remaining_ms) if isinstance(cold_remaining_ms, int | float) else 0.0,
     )
 
 
-def gone(instance: str) -> Instance:
-    """What is known of an instance that has deregistered."""
+def gone_instance(instance: str) -> Instance:
+    """Return the entry for an instance, given by its id, that has ended."""
     return Instance(instance, "", "", "", "", 0, InstanceState.GONE, 0, "", 0.0)
 
 
 class Registry:
-    """All instances that were heard of, each with the time of its last heartbeat."""
+    """All known instances by id, each with the time of its last heartbeat in seconds."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.heard: dict[str, float] = {}
-        self._gone: dict[str, None] = {}
+        self.last_heartbeat_at: dict[str, float] = {}
+        self._gone: dict[str, None] = {}  # ids of ended instances, oldest first
 
-    def merge(self, told: Instance, now: float) -> Instance | None:
-        """Take in what a worker or another keeper tells; returns what others have to be told, if anything."""
-        if told.id in self._gone:
+    def merge(self, reported: Instance, now: float) -> Instance | None:
+        """Merge an instance reported by a worker or another keeper.
+
+        Returns the instance to publish if routers and keepers have to learn of a change, otherwise None.
+        """
+        if reported.id in self._gone:
             return None
-        if told.state == InstanceState.GONE:
-            self._end(told.id)
-            return told
-        known = self.instances.get(told.id)
-        if known is None and len(self.instances) >= INSTANCES_MOST:
+        if reported.state == InstanceState.GONE:
+            self._end(reported.id)
+            return reported
+        existing = self.instances.get(reported.id)
+        if existing is None and len(self.instances) >= MAX_INSTANCES:
             return None
-        if known is not None and told.sequence < known.sequence:
+        if existing is not None and reported.sequence < existing.sequence:
             return None
-        self.heard[told.id] = now
-        state = told.state if known is None else max(known.state, told.state)
-        merged = told if state == told.state else _with_state(told, state)
-        self.instances[told.id] = merged
-        return merged if known is None or _differs(known, merged) else None
+        self.last_heartbeat_at[reported.id] = now
+        state = reported.state if existing is None else max(existing.state, reported.state)
+        merged = reported if state == reported.state else _with_state(reported, state)
+        self.instances[reported.id] = merged
+        return merged if existing is None or _differs(existing, merged) else None
 
     def _end(self, instance: str) -> None:
+        """Remove an instance and remember its id as ended."""
         self.instances.pop(instance, None)
-        self.heard.pop(instance, None)
+        self.last_heartbeat_at.pop(instance, None)
         self._gone[instance] = None
-        while len(self._gone) > GONE_MOST:
+        while len(self._gone) > MAX_GONE_INSTANCES:
             del self._gone[next(iter(self._gone))]
 
     def is_gone(self, instance: str) -> bool:
-        """Whether the instance is known to have ended."""
+        """Whether the instance with this id is remembered as ended."""
         return instance in self._gone
 
-    def silent(self, now: float, longest: float) -> list[str]:
-        """Instances without a heartbeat for longer than this."""
-        return [name for name, heard in self.heard.items() if now - heard > longest]
+    def silent(self, now: float, timeout_s: float) -> list[str]:
+        """Ids of the instances whose last heartbeat is more than `timeout_s` ago."""
+        return [name for name, at in self.last_heartbeat_at.items() if now - at > timeout_s]
 
-    def forget(self, instances: Iterable[str]) -> list[Instance]:
-        """End instances that have not been heard for too long; returns what others have to be told."""
-        ended = [gone(name) for name in instances if name in self.instances]
+    def expire(self, instances: Iterable[str]) -> list[Instance]:
+        """End the instances with these ids and return the entries to publish; unknown ids are ignored."""
+        ended = [gone_instance(name) for name in instances if name in self.instances]
         for instance in ended:
             self._end(instance.id)
         return ended
 
     def snapshot(self) -> list[Instance]:
-        """All that is known, for somebody who knows nothing."""
-        lately = list(self._gone)[-TOLD_GONE_MOST:]
-        return [*self.instances.values(), *(gone(name) for name in lately)]
+        """All instances and the most recently ended ones, for a peer that has no state yet."""
+        recently_gone = list(self._gone)[-MAX_GONE_IN_SNAPSHOT:]
+        return [*self.instances.values(), *(gone_instance(name) for name in recently_gone)]
 
 
 def _with_state(instance: Instance, state: int) -> Instance:
+    """A copy of an instance in another state."""
     return Instance(
         instance.id,
         instance.backend,
@@ -155,7 +162,7 @@
 
 
 def _differs(one: Instance, other: Instance) -> bool:
-    """Whether routers would treat the two differently: the sequence alone is no news."""
+    """Whether routers would treat the two differently; a new sequence number alone is not published."""
     return (one.state, one.address, one.backend, one.slots, one.zone, one.stage) != (
         other.state,
         other.address,
--- a/pebbledrift/control/schema.py
+++ b/pebbledrift/control/schema.py
@@ -1,4 +1,4 @@
-"""Checks an operator's configuration and tells all faults at once, each with its place."""
+"""Validates an operator's configuration and reports all faults at once, each with the path of the value."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Number(fields.Float):
-    """A JSON number: a text that holds one is none."""
+    """A JSON number; a string that holds a number is refused."""
 
     def _validated(self, value: Any) -> float:
         if isinstance(value, bool) or not isinstance(value, int | float):
@@ -23,8 +23,8 @@
         return super()._validated(value)
 
 
-class Whole(fields.Integer):
-    """A whole JSON number."""
+class Integer(fields.Integer):
+    """A JSON integer; a string that holds one is refused."""
 
     def _validated(self, value: Any) -> int:
         if isinstance(value, bool) or not isinstance(value, int):
@@ -32,8 +32,8 @@
         return super()._validated(value)
 
 
-class Flag(fields.Boolean):
-    """true or false, and nothing that looks like it."""
+class Boolean(fields.Boolean):
+    """A JSON boolean; numbers and strings such as "yes" are refused."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> bool:
         if not isinstance(value, bool):
@@ -41,22 +41,22 @@
         return value
 
 
-class _Open(Schema):
-    """Keys that this version does not know are kept as they came."""
+class _OpenSchema(Schema):
+    """Accepts keys that this version does not know, and keeps their values unchanged."""
 
     class Meta:
         unknown = INCLUDE
 
 
-class SplitSchema(_Open):
-    """One part of a route's traffic split."""
+class SplitSchema(_OpenSchema):
+    """One backend of a route's traffic split, with its weight."""
 
     backend = fields.String(required=True, validate=NOT_EMPTY)
     weight = Number(required=True, validate=NOT_NEGATIVE)
 
 
-class RouteSchema(_Open):
-    """One route."""
+class RouteSchema(_OpenSchema):
+    """A route: the requests that it matches, its type and time limits, and the backends that serve it."""
 
     name = fields.String(required=True, validate=NOT_EMPTY)
     hostname = fields.String(required=True, validate=NOT_EMPTY)
@@ -64,56 +64,56 @@
     route_type = fields.String(data_key="route-type", required=True, validate=validate.OneOf(ROUTE_TYPES))
     timeout_ms = Number(data_key="timeout-ms", required=True, validate=POSITIVE)
     target_latency_ms = Number(data_key="target-latency-ms", validate=NOT_NEGATIVE)
-    priority = Whole()
+    priority = Integer()
     backend = fields.String(validate=NOT_EMPTY)
     traffic_split = fields.List(fields.Nested(SplitSchema), data_key="traffic-split", validate=NOT_EMPTY)
-    max_attempts = Whole(data_key="max-attempts", validate=validate.Range(min=1))
-    public = Flag()
-    session_affinity = Flag(data_key="session-affinity")
-    resumable = Flag()
+    max_attempts = Integer(data_key="max-attempts", validate=validate.Range(min=1))
+    public = Boolean()
+    session_affinity = Boolean(data_key="session-affinity")
+    resumable = Boolean()
 
 
-class EngineSchema(_Open):
-    """What a service of model workers tells of its engine."""
+class EngineSchema(_OpenSchema):
+    """The inference engine of a backend with model workers."""
 
-    slots = Whole(validate=validate.Range(min=1))
+    slots = Integer(validate=validate.Range(min=1))
     kv_cache_tokens = Number(data_key="kv-cache-tokens", validate=NOT_NEGATIVE)
 
 
-class BackendSchema(_Open):
-    """One service."""
+class BackendSchema(_OpenSchema):
+    """A backend: a service that routes refer to by name."""
 
     name = fields.String(required=True, validate=NOT_EMPTY)
     health_check = fields.String(data_key="health-check")
-    max_connections = Whole(data_key="max-connections", validate=NOT_NEGATIVE)
+    max_connections = Integer(data_key="max-connections", validate=NOT_NEGATIVE)
     engine = fields.Nested(EngineSchema, allow_none=True)
 
 
-class LimitsSchema(_Open):
-    """What clients may send, and for how long."""
+class LimitsSchema(_OpenSchema):
+    """Limits on the size of client requests, and timeouts of client connections."""
 
-    max_header_bytes = Whole(data_key="max-header-bytes", validate=POSITIVE)
-    max_body_bytes = Whole(data_key="max-body-bytes", validate=POSITIVE)
+    max_header_bytes = Integer(data_key="max-header-bytes", validate=POSITIVE)
+    max_body_bytes = Integer(data_key="max-body-bytes", validate=POSITIVE)
     header_timeout_ms = Number(data_key="header-timeout-ms", validate=POSITIVE)
     idle_timeout_ms = Number(data_key="idle-timeout-ms", validate=POSITIVE)
 
 
-class TenantSchema(_Open):
-    """One tenant."""
+class TenantSchema(_OpenSchema):
+    """A tenant: its API keys, priority and quota."""
 
     name = fields.String(required=True, validate=NOT_EMPTY)
     api_keys = fields.List(fields.String(validate=NOT_EMPTY), data_key="api-keys", required=True)
-    priority = Whole(allow_none=True)
+    priority = Integer(allow_none=True)
     unit = fields.String()
     uncached_tokens = Number(data_key="uncached-tokens", validate=NOT_NEGATIVE)
     rate_per_s = Number(data_key="rate-per-s", validate=NOT_NEGATIVE)
     burst = Number(validate=NOT_NEGATIVE)
 
 
-class ConfigurationSchema(_Open):
-    """A whole configuration."""
+class ConfigurationSchema(_OpenSchema):
+    """The complete configuration."""
 
-    revision = Whole(required=True)
+    revision = Integer(required=True)
     routes = fields.List(fields.Nested(RouteSchema), required=True)
     backends = fields.List(fields.Nested(BackendSchema), required=True)
     limits = fields.Nested(LimitsSchema)
@@ -123,68 +123,71 @@
 _SCHEMA = ConfigurationSchema()
 
 
-def _lines(messages: Any, place: str) -> list[str]:
-    """The faults of a nested report, each behind its place."""
+def _flatten(messages: Any, path: str) -> list[str]:
+    """Flatten marshmallow's nested error messages into lines that begin with the path of the value."""
     if isinstance(messages, dict):
-        found = []
+        faults = []
         for key, inner in messages.items():
-            where = f"{place}[{key}]" if isinstance(key, int) else f"{place}.{key}".lstrip(".")
-            found += _lines(inner, where)
-        return found
-    return [f"{place or 'configuration'}: {text}" for text in messages]
+            inner_path = f"{path}[{key}]" if isinstance(key, int) else f"{path}.{key}".lstrip(".")
+            faults += _flatten(inner, inner_path)
+        return faults
+    return [f"{path or 'configuration'}: {text}" for text in messages]
 
 
-def _repeated(items: list[Any], place: str) -> list[str]:
-    """A fault for each name that stands twice."""
+def _duplicate_name_faults(items: list[Any], section: str) -> list[str]:
+    """One fault for each item whose name an earlier item of the section has."""
     seen: set[Any] = set()
-    found = []
-    for number, item in enumerate(items):
+    faults = []
+    for index, item in enumerate(items):
         if item["name"] in seen:
-            found.append(f"{place}[{number}].name: {item['name']!r} stands twice")
+            faults.append(f"{section}[{index}].name: {item['name']!r} stands twice")
         seen.add(item["name"])
-    return found
+    return faults
 
 
 def _route_faults(config: dict[str, Any]) -> list[str]:
-    """Faults between routes, and between routes and services."""
-    known = {backend["name"] for backend in config["backends"]}
-    places: set[tuple[str, str]] = set()
-    found = []
-    for number, route in enumerate(config["routes"]):
-        at = f"routes[{number}]"
+    """Unknown backends, traffic splits without weight, and routes with the same hostname and path prefix."""
+    backend_names = {backend["name"] for backend in config["backends"]}
+    locations: set[tuple[str, str]] = set()  # hostname and path prefix of the routes so far
+    faults = []
+    for index, route in enumerate(config["routes"]):
+        path = f"routes[{index}]"
         split = route.get("traffic-split")
         targets = [part["backend"] for part in split] if split else [route.get("backend")]
-        found += [f"{at}: unknown service {name!r}" for name in targets if name not in known]
+        faults += [f"{path}: unknown service {name!r}" for name in targets if name not in backend_names]
         if split and sum(part["weight"] for part in split) <= 0:
-            found.append(f"{at}.traffic-split: the weights sum to 0")
-        place = route["hostname"].lower(), route["path-prefix"]
-        if place in places:
-            found.append(f"{at}: another route has {place[0]}{place[1]}")
-        places.add(place)
-    return found
-
-
-def _key_faults(config: dict[str, Any]) -> list[str]:
-    """A fault for each key that two tenants share; the key itself is not told."""
-    owner: dict[str, int] = {}
-    found = []
-    for number, tenant in enumerate(config.get("tenants") or []):
+            faults.append(f"{path}.traffic-split: the weights sum to 0")
+        location = route["hostname"].lower(), route["path-prefix"]
+        if location in locations:
+            faults.append(f"{path}: another route has {location[0]}{location[1]}")
+        locations.add(location)
+    return faults
+
+
+def _shared_key_faults(config: dict[str, Any]) -> list[str]:
+    """One fault for each API key that two tenants share; the message does not disclose the key."""
+    owners: dict[str, int] = {}  # API key to the index of its tenant
+    faults = []
+    for index, tenant in enumerate(config.get("tenants") or []):
         for key in tenant["api-keys"]:
-            if owner.setdefault(key, number) != number:
-                found.append(f"tenants[{number}].api-keys: a key of tenants[{owner[key]}] too")
-    return found
+            if owners.setdefault(key, index) != index:
+                faults.append(f"tenants[{index}].api-keys: a key of tenants[{owners[key]}] too")
+    return faults
 
 
 def check(config: object) -> None:
-    """Raise InvalidConfiguration with all faults of a whole configuration."""
+    """Raise InvalidConfiguration with all faults of a complete configuration.
+
+    Faults between items are looked for only if each item has the right keys and types.
+    """
     if not isinstance(config, dict):
         raise InvalidConfiguration(["configuration: not an object"])
     try:
         _SCHEMA.load(config)
     except ValidationError as error:
-        raise InvalidConfiguration(_lines(error.messages, "")) from None
-    found = [*_route_faults(config), *_key_faults(config)]
+        raise InvalidConfiguration(_flatten(error.messages, "")) from None
+    faults = [*_route_faults(config), *_shared_key_faults(config)]
     for section in ("routes", "backends", "tenants"):
-        found += _repeated(config.get(section) or [], section)
-    if found:
-        raise InvalidConfiguration(found)
+        faults += _duplicate_name_faults(config.get(section) or [], section)
+    if faults:
+        raise InvalidConfiguration(faults)
--- a/pebbledrift/keeper/api.py
+++ b/pebbledrift/keeper/api.py
@@ -12,7 +12,7 @@
 from cheroot import wsgi
 
 from pebbledrift.cluster.boot import Address
-from pebbledrift.control.orders import Judgement, Order, OrderKind, Verdict
+from pebbledrift.control.orders import Order, OrderKind, OrderResult, OrderStatus
 from pebbledrift.control.registry import Instance, MalformedHeartbeat, parse_heartbeat
 
 log = logging.getLogger(__name__)
@@ -32,10 +32,10 @@
     503: "503 Service Unavailable",
 }
 OF_VERDICT = {
-    Verdict.TAKEN: 200,
-    Verdict.TAKEN_BEFORE: 200,
-    Verdict.CONFLICT: 412,
-    Verdict.INVALID: 400,
+    OrderStatus.ACCEPTED: 200,
+    OrderStatus.ALREADY_ACCEPTED: 200,
+    OrderStatus.CONFLICT: 412,
+    OrderStatus.INVALID: 400,
 }
 
 
@@ -59,7 +59,7 @@
 class ControlState(Protocol):
     """What the interface asks of the keeper, on the keeper's own loop."""
 
-    async def order(self, order: Order) -> Judgement | None:
+    async def order(self, order: Order) -> OrderResult | None:
         """Carry an order out; None where there is no clear answer."""
 
     async def read(self) -> dict[str, Any] | None:
@@ -154,7 +154,7 @@
         judgement = self._on_loop(self._state.order(Order(kind, int(base), body)))
         if judgement is None:
             return Reply(503, {"error": "no clear answer: send the same again"})
-        status = OF_VERDICT[Verdict(judgement.verdict)]
+        status = OF_VERDICT[OrderStatus(judgement.status)]
         return Reply(status, {} if status == 200 else {"error": judgement.reason})
 
 
--- a/pebbledrift/keeper/lending.py
+++ b/pebbledrift/keeper/lending.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from pebbledrift.cluster.peaks import RecentPeak
-from pebbledrift.control.quota import LoanPriority, QuotaWindow, SpendingReport, TokenBank, quotas_of
+from pebbledrift.control.quota import LoanPriority, QuotaLender, QuotaWindow, SpendingReport, quotas_of
 from pebbledrift.overlay.messages import TokenGrant, TokenReport, TokenRequest
 from spoolpier.records import record
 
@@ -27,7 +27,7 @@
     """Lends tokens while this keeper is the head of the chain."""
 
     def __init__(self, window: QuotaWindow) -> None:
-        self._bank = TokenBank(window)
+        self._bank = QuotaLender(window)
         self._epoch = 0
         self._was_head = False
         self._cleared_at = 0.0
@@ -58,7 +58,7 @@
         routers, since = self._routers.value, now - self._cleared_at
         if since > REPORTS_S or (len(self._reports) < routers and since < REPORTS_WAIT_S):
             return
-        self._bank.settle([told.report for told in self._reports.values()], routers, now)
+        self._bank.reconcile([told.report for told in self._reports.values()], routers, now)
 
     def status(self, now: float) -> dict[str, dict[str, float]]:
         """By tenant: its rate and burst, and what of a window's most is lent."""
--- a/pebbledrift/keeper/service.py
+++ b/pebbledrift/keeper/service.py
@@ -13,7 +13,7 @@
 from pebbledrift.chain.view import address_of
 from pebbledrift.cluster.boot import BootSettings
 from pebbledrift.cluster.transport import Channel, Hello, serve
-from pebbledrift.control.orders import Judgement, Order
+from pebbledrift.control.orders import Order, OrderResult
 from pebbledrift.control.quota import QuotaWindow
 from pebbledrift.control.registry import Instance
 from pebbledrift.keeper.disk import DiskWriter
@@ -281,7 +281,7 @@
 
     # the control interface
 
-    async def order(self, order: Order) -> Judgement | None:
+    async def order(self, order: Order) -> OrderResult | None:
         """Carry an order out; None where there is no clear answer."""
         return await self._call(order)
 
@@ -290,10 +290,10 @@
         answered = await self._call(None)
         return self.replica.log.state.config if answered is not None else None
 
-    async def _call(self, order: Order | None) -> Judgement | None:
-        done: asyncio.Future[Judgement | None] = self.loop.create_future()
+    async def _call(self, order: Order | None) -> OrderResult | None:
+        done: asyncio.Future[OrderResult | None] = self.loop.create_future()
 
-        def finish(judgement: Judgement | None) -> None:
+        def finish(judgement: OrderResult | None) -> None:
             if not done.done():
                 done.set_result(judgement)
 
--- a/pebbledrift/keeper/workers.py
+++ b/pebbledrift/keeper/workers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pebbledrift.control.registry import Instance, InstanceState, Registry, gone
+from pebbledrift.control.registry import Instance, InstanceState, Registry, gone_instance
 from pebbledrift.keeper.instance_store import InstanceStore
 from pebbledrift.keeper.peers import KeeperNetwork
 from pebbledrift.overlay.messages import (
@@ -78,7 +78,7 @@
     async def heartbeat(self, told: Instance) -> bool:
         """Take a heartbeat in; returns whether it may be acknowledged: not where there is no room for it."""
         if self.registry.is_gone(told.id):
-            return await self._confirm(gone(told.id))
+            return await self._confirm(gone_instance(told.id))
         news = self.registry.merge(told, self._loop.time())
         known = self.registry.instances.get(told.id)
         if known is None:
@@ -90,7 +90,7 @@
 
     async def deregister(self, instance: str) -> bool:
         """An instance has ended; returns whether that may be acknowledged."""
-        ended = gone(instance)
+        ended = gone_instance(instance)
         news = self.registry.merge(ended, self._loop.time())
         if news is not None:
             self._tell(news)
@@ -176,7 +176,7 @@
         for instance, sequence in message.heard:
             known = self.registry.instances.get(instance)
             if known is not None and sequence >= known.sequence:
-                self.registry.heard[instance] = now
+                self.registry.last_heartbeat_at[instance] = now
 
     def merge(self, instances: tuple[Instance, ...]) -> None:
         """Take in what others tell, and pass on what is new."""
@@ -201,4 +201,4 @@
         if self._changed and self._store is not None:
             self._changed = False
             self._store.save(self.registry.snapshot())
-        self.registry.forget(self.registry.silent(now, FORGET_AFTER_S))
+        self.registry.expire(self.registry.silent(now, FORGET_AFTER_S))
--- a/tests/cluster/explorer.py
+++ b/tests/cluster/explorer.py
@@ -23,7 +23,7 @@
 from pebbledrift.chain.replica import Replica, ReplicaSettings
 from pebbledrift.chain.view import FOUNDER, founding_view, node_name
 from pebbledrift.cluster import codec
-from pebbledrift.control.orders import Judgement, Order, Verdict
+from pebbledrift.control.orders import Order, OrderResult, OrderStatus
 from tests.cluster.simulation import TAKEN, change, check
 
 ADDRESSES = ("a:1", "b:1", "c:1")
@@ -61,7 +61,7 @@
         self.links: dict[tuple[str, str], deque[bytes]] = {}
         self.writes: dict[str, deque[Write]] = {}
         self.committed: dict[int, Entry] = {}
-        self.answers: dict[int, list[Judgement | None]] = {0: [], 1: []}
+        self.answers: dict[int, list[OrderResult | None]] = {0: [], 1: []}
         self._to_lose: Loss | None = None  # what may still come
         self._back_at: dict[str, float] = {}
         for address in ADDRESSES:
@@ -205,15 +205,15 @@
             for judgement in self.answers[number]:
                 if judgement is None:
                     continue
-                assert (judgement.verdict in TAKEN) == (order in orders), f"{judgement}: {orders}"
-        again = [list[Judgement | None](), list[Judgement | None]()]
+                assert (judgement.status in TAKEN) == (order in orders), f"{judgement}: {orders}"
+        again = [list[OrderResult | None](), list[OrderResult | None]()]
         for number, order in enumerate(ORDERS):
             self.replicas["c:1"].call(order, self.now, 3.0, again[number].append)
         self._flush("c:1")
         self._go_on(lambda: bool(again[0] and again[1]), 4.0)
-        verdicts = [found[0].verdict if found and found[0] else None for found in again]
+        verdicts = [found[0].status if found and found[0] else None for found in again]
         assert sorted(verdict in TAKEN for verdict in verdicts) == [False, True], f"sent again: {verdicts}"
-        assert Verdict.CONFLICT in verdicts, f"sent again: {verdicts}"
+        assert OrderStatus.CONFLICT in verdicts, f"sent again: {verdicts}"
         for address, replica in self.replicas.items():
             assert replica.log.state.revision == 1, f"{address} lacks the change"
 
--- a/tests/cluster/mutations.py
+++ b/tests/cluster/mutations.py
@@ -77,7 +77,7 @@
     Mutation(
         "a change that was taken is known again",
         "pebbledrift/control/orders.py",
-        "if order.digest in self.taken:",
+        "if order.digest in self.accepted:",
         "if False:",
         WORST,
         "sent_again",
--- a/tests/cluster/operators.py
+++ b/tests/cluster/operators.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pebbledrift.control.orders import Order, OrderKind, Verdict
+from pebbledrift.control.orders import Order, OrderKind, OrderStatus
 from tests.cluster import linearizability
 from tests.cluster.linearizability import is_linearizable
 from tests.cluster.simulation import TAKEN, Call, Cluster
@@ -42,7 +42,7 @@
     revision: int  # of the order; of a read: what came
     begun: float
     ended: float | None = None
-    verdict: int | None = None  # None: unclear
+    status: int | None = None  # None: unclear
 
 
 @dataclass
@@ -140,7 +140,7 @@
                 self.cluster.at(self.cluster.now + PAUSE_S, next_try)
                 return
             answered = True
-            operation.ended, operation.verdict = self.cluster.now, call.judgement.verdict
+            operation.ended, operation.status = self.cluster.now, call.judgement.status
             if operation.order is None:
                 operation.revision = call.revision
             self._note(operation)
@@ -158,7 +158,7 @@
         return self._told[index - 1][1] if index else 0
 
     def _note(self, operation: Operation) -> None:
-        if operation.verdict in TAKEN:
+        if operation.status in TAKEN:
             newest = self._told[-1][1] if self._told else 0
             self._told.append((self.cluster.now, max(newest, operation.revision)))
 
@@ -166,11 +166,11 @@
         """The history is one of a register that goes from version to version, each change at most once."""
         taken = self._taken()
         for operation in self.history:
-            if operation.verdict is None:
+            if operation.status is None:
                 continue
             if operation.order is None:
                 self._check_read(operation, taken)
-            elif operation.verdict in TAKEN:
+            elif operation.status in TAKEN:
                 assert operation.order.digest in taken, f"acknowledged and not in force: {operation}"
             else:
                 self._check_refusal(operation, taken)
@@ -182,12 +182,12 @@
         for operation in self.history:
             if operation.order is None:
                 apply = read_of(operation.revision)
-            elif operation.verdict in TAKEN or operation.verdict is None:
+            elif operation.status in TAKEN or operation.status is None:
                 apply = taken_of(operation.order.base, operation.revision)
             else:
                 apply = refusal_of(operation.order.base, operation.revision)
-            if operation.order is not None or operation.verdict is not None:
-                ended = operation.ended if operation.verdict is not None else None
+            if operation.order is not None or operation.status is not None:
+                ended = operation.ended if operation.status is not None else None
                 found.append(linearizability.Operation(operation.begun, ended, apply))
         return found
 
@@ -213,7 +213,7 @@
         order = refused.order
         assert order is not None and refused.ended is not None
         assert order.digest not in taken, f"refused and in force: {refused}"
-        if refused.verdict == Verdict.INVALID:
+        if refused.status == OrderStatus.INVALID:
             return
         in_place = self.newest_acknowledged(refused.begun)
         others = [
--- a/tests/cluster/plays.py
+++ b/tests/cluster/plays.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pebbledrift.control.orders import Verdict
+from pebbledrift.control.orders import OrderStatus
 from tests.cluster.simulation import Call, Cluster, change
 
 THREE = ("a:1", "b:1", "c:1")
@@ -10,7 +10,7 @@
 
 
 def verdict(call: Call) -> int | None:
-    return None if call.judgement is None else call.judgement.verdict
+    return None if call.judgement is None else call.judgement.status
 
 
 def head_of(cluster: Cluster) -> str:
@@ -29,7 +29,7 @@
 def taken(cluster: Cluster, at: str, revision: int, base: int, note: str = "") -> None:
     call = cluster.order(at, change(revision, base, note))
     cluster.run(0.5)
-    assert verdict(call) == Verdict.TAKEN
+    assert verdict(call) == OrderStatus.ACCEPTED
 
 
 def hold(cluster: Cluster, sender: str, receiver: str, seconds: float) -> None:
--- a/tests/cluster/relay_replicas.py
+++ b/tests/cluster/relay_replicas.py
@@ -7,7 +7,7 @@
 from pebbledrift.chain.log import ReplicatedLog
 from pebbledrift.chain.replica import Replica, ReplicaSettings, Stored
 from pebbledrift.chain.view import FOUNDER, address_of, founding_view, node_name
-from pebbledrift.control.orders import Judgement, Verdict
+from pebbledrift.control.orders import OrderResult, OrderStatus
 from pebbledrift.overlay.messages import KeeperState
 from tests.cluster.relay_simulation import DELAY_S, Fabric, Keeper
 from tests.cluster.simulation import change, check
@@ -97,8 +97,8 @@
         """Make a change; the list gets the moment at which it is acknowledged."""
         acknowledged: list[float] = []
 
-        def done(judgement: Judgement | None) -> None:
-            if judgement is not None and judgement.verdict == Verdict.TAKEN:
+        def done(judgement: OrderResult | None) -> None:
+            if judgement is not None and judgement.status == OrderStatus.ACCEPTED:
                 acknowledged.append(self.fabric.now)
 
         self.replica.call(change(revision, base), self.fabric.now, CALL_S, done)
--- a/tests/cluster/relay_simulation.py
+++ b/tests/cluster/relay_simulation.py
@@ -18,7 +18,7 @@
 from pebbledrift.chain.messages import Entry
 from pebbledrift.cluster import codec
 from pebbledrift.control.orders import Order, OrderKind
-from pebbledrift.control.registry import Instance, InstanceState, Registry, gone
+from pebbledrift.control.registry import Instance, InstanceState, Registry, gone_instance
 from pebbledrift.overlay.gossip import Gossip
 from pebbledrift.overlay.messages import (
     InstanceSnapshot,
@@ -367,7 +367,11 @@
 
     def worker(self, name: str, keeper: str, state: InstanceState) -> None:
         """A worker tells a keeper where it stands."""
-        told = gone(name) if state == InstanceState.GONE else _instance(name, state, int(self.now * 1000))
+        told = (
+            gone_instance(name)
+            if state == InstanceState.GONE
+            else _instance(name, state, int(self.now * 1000))
+        )
         self.keepers[keeper].hear(told)
 
     # connections
--- a/tests/cluster/scenario.py
+++ b/tests/cluster/scenario.py
@@ -19,12 +19,12 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-from pebbledrift.control.orders import Verdict
+from pebbledrift.control.orders import OrderStatus
 from tests.cluster.simulation import Call, Cluster, change
 
 VERDICTS = {
-    "taken": (Verdict.TAKEN, Verdict.TAKEN_BEFORE),
-    "conflict": (Verdict.CONFLICT,),
+    "taken": (OrderStatus.ACCEPTED, OrderStatus.ALREADY_ACCEPTED),
+    "conflict": (OrderStatus.CONFLICT,),
     "unclear": (None,),
 }
 
@@ -107,7 +107,7 @@
     def _expect(self, words: list[str]) -> None:
         if words[0] in self._calls:
             judgement = self._calls[words[0]].judgement
-            found = None if judgement is None else judgement.verdict
+            found = None if judgement is None else judgement.status
             assert found in VERDICTS[words[1]], f"found {found}"
             return
         replica = self.cluster.replicas[_address(words[0])]
@@ -124,9 +124,11 @@
     def _consistent(self) -> None:
         accepted = [order.base for order in set(self.cluster.acknowledged())]
         assert len(accepted) == len(set(accepted)), "two changes on one base"
-        refused = [c for c in self.cluster.calls if c.judgement and c.judgement.verdict == Verdict.CONFLICT]
+        refused = [
+            c for c in self.cluster.calls if c.judgement and c.judgement.status == OrderStatus.CONFLICT
+        ]
         for replica in self.cluster.replicas.values():
-            in_force = [c for c in refused if c.order and c.order.digest in replica.log.state.taken]
+            in_force = [c for c in refused if c.order and c.order.digest in replica.log.state.accepted]
             assert not in_force, f"refused and in force: {in_force[0].order}"
 
     def _loss(self, words: list[str]) -> None:
--- a/tests/cluster/simulation.py
+++ b/tests/cluster/simulation.py
@@ -18,7 +18,7 @@
 from pebbledrift.chain.storage import Storage
 from pebbledrift.cluster import codec
 from pebbledrift.cluster.errors import StorageError
-from pebbledrift.control.orders import Judgement, Order, OrderKind, Verdict
+from pebbledrift.control.orders import Order, OrderKind, OrderResult, OrderStatus
 from pebbledrift.keeper.startup import OpenedDisk, open_disk, take_identity
 from tests.cluster.simulated_disk import PowerLost, SimulatedFiles
 from tests.cluster.simulated_network import Network
@@ -29,7 +29,7 @@
 CONNECT_S = 0.05  # after a start the others are connected to
 LOG_MOST = 4096  # slots are written often: what is rare in service comes in every play
 FOLDER = Path("disk")
-TAKEN = (Verdict.TAKEN, Verdict.TAKEN_BEFORE)
+TAKEN = (OrderStatus.ACCEPTED, OrderStatus.ALREADY_ACCEPTED)
 
 
 @dataclass
@@ -63,7 +63,7 @@
     made: float
     at: str
     ended: float | None = None
-    judgement: Judgement | None = None
+    judgement: OrderResult | None = None
     revision: int = 0
 
 
@@ -371,7 +371,7 @@
             call.ended = self.now
             return call
 
-        def ended(judgement: Judgement | None) -> None:
+        def ended(judgement: OrderResult | None) -> None:
             call.ended, call.judgement = self.now, judgement
             call.revision = process.replica.log.state.revision
             if done is not None:
@@ -385,12 +385,12 @@
         return call
 
     def acknowledged(self) -> list[Order]:
-        return [c.order for c in self.calls if c.order and c.judgement and c.judgement.verdict in TAKEN]
+        return [c.order for c in self.calls if c.order and c.judgement and c.judgement.status in TAKEN]
 
     def check_kept(self, state_at: str) -> None:
         state = self.replicas[state_at].log.state
         for order in self.acknowledged():
-            assert order.digest in state.taken, f"lost: {order}"
+            assert order.digest in state.accepted, f"lost: {order}"
 
 
 def check(config: object) -> None:
--- a/tests/cluster/test_chain.py
+++ b/tests/cluster/test_chain.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pebbledrift.chain.messages import Accept, Accepted, Prepare, Promise
-from pebbledrift.control.orders import Verdict
+from pebbledrift.control.orders import OrderStatus
 from tests.cluster.simulation import Cluster, change
 
 THREE = ("a:1", "b:1", "c:1")
@@ -15,7 +15,7 @@
 
 def verdict(call: object) -> int | None:
     judgement = getattr(call, "judgement")  # noqa: B009
-    return None if judgement is None else judgement.verdict
+    return None if judgement is None else judgement.status
 
 
 def test_a_change_is_taken_at_any_keeper() -> None:
@@ -24,7 +24,7 @@
     for number, address in enumerate(THREE, start=1):
         call = cluster.order(address, change(number, number - 1))
         cluster.run(0.3)
-        assert verdict(call) == Verdict.TAKEN
+        assert verdict(call) == OrderStatus.ACCEPTED
     assert {r.log.state.revision for r in cluster.replicas.values()} == {3}
 
 
@@ -35,8 +35,8 @@
     cluster.run(0.3)
     again, other = cluster.order("b:1", change(5, 0)), cluster.order("c:1", change(6, 0, "other"))
     cluster.run(0.3)
-    assert verdict(again) in (Verdict.TAKEN, Verdict.TAKEN_BEFORE)
-    assert verdict(other) == Verdict.CONFLICT
+    assert verdict(again) in (OrderStatus.ACCEPTED, OrderStatus.ALREADY_ACCEPTED)
+    assert verdict(other) == OrderStatus.CONFLICT
 
 
 @pytest.mark.parametrize("lost", THREE)
@@ -70,7 +70,7 @@
     cluster.run(2.0)
     call = cluster.order("d:1", change(2, 1))
     cluster.run(1.0)
-    assert verdict(call) == Verdict.TAKEN
+    assert verdict(call) == OrderStatus.ACCEPTED
 
 
 @pytest.mark.parametrize("kind", [Prepare, Promise, Accept, Accepted])
@@ -108,7 +108,7 @@
     cluster.check_kept("c:1")
     call = cluster.order("b:1", change(2, 1))
     cluster.run(0.5)
-    assert verdict(call) == Verdict.TAKEN
+    assert verdict(call) == OrderStatus.ACCEPTED
 
 
 def test_a_stalled_disk_leaves_the_chain() -> None:
@@ -117,7 +117,7 @@
     cluster.disks["b:1"].stalled_until = cluster.now + 5.0
     call = cluster.order("a:1", change(1, 0))
     cluster.run(2.0)
-    assert verdict(call) == Verdict.TAKEN
+    assert verdict(call) == OrderStatus.ACCEPTED
     cluster.run(6.0)
     assert cluster.replicas["b:1"].log.state.revision == 1
     view = cluster.replicas["b:1"].agreement.view
@@ -131,7 +131,7 @@
     cluster.run(1.5)
     taken = cluster.order("b:1", change(1, 0))
     cluster.run(1.0)
-    assert verdict(taken) == Verdict.TAKEN
+    assert verdict(taken) == OrderStatus.ACCEPTED
     cluster.wipe("b:1")
     cluster.kill("c:1", power=True)
     cluster.heal()
@@ -189,8 +189,8 @@
     accepted = [order.base for order in set(cluster.acknowledged())]
     assert len(accepted) == len(set(accepted)), "two changes on one base"
     assert len(accepted) > 10
-    refused = [c for c in cluster.calls if c.judgement and c.judgement.verdict == Verdict.CONFLICT]
-    kept = cluster.replicas["a:1"].log.state.taken
+    refused = [c for c in cluster.calls if c.judgement and c.judgement.status == OrderStatus.CONFLICT]
+    kept = cluster.replicas["a:1"].log.state.accepted
     assert not [c for c in refused if c.order and c.order.digest in kept], "refused and in force"
     final = cluster.order("b:1", None)
     cluster.run(1.0)
--- a/tests/cluster/test_drawn_days.py
+++ b/tests/cluster/test_drawn_days.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pebbledrift.control.orders import Verdict
+from pebbledrift.control.orders import OrderStatus
 from tests.cluster import explorer, worst_days
 from tests.cluster.operators import Operators
 from tests.cluster.plays import THREE
@@ -30,13 +30,13 @@
     cluster.run(1.0)
     read = operators.read()
     cluster.run(1.0)
-    assert (first.verdict, second.verdict, read.revision) == (Verdict.TAKEN, Verdict.TAKEN, 2)
+    assert (first.status, second.status, read.revision) == (OrderStatus.ACCEPTED, OrderStatus.ACCEPTED, 2)
     operators.check()
     read.revision = 1
     with pytest.raises(AssertionError, match="read 1"):
         operators.check()
     read.revision = 2
-    second.verdict = Verdict.CONFLICT
+    second.status = OrderStatus.CONFLICT
     with pytest.raises(AssertionError, match="refused and in force"):
         operators.check()
 
--- a/tests/cluster/test_fuzz.py
+++ b/tests/cluster/test_fuzz.py
@@ -25,7 +25,7 @@
 from pebbledrift.cluster.codec import FrameReader, decode, encode, frame
 from pebbledrift.cluster.errors import InvalidConfiguration, MessageError, StorageError
 from pebbledrift.console.difference import compare
-from pebbledrift.control.orders import ConfigurationState, Order, OrderKind, Verdict
+from pebbledrift.control.orders import ConfigurationState, Order, OrderKind, OrderStatus
 from pebbledrift.control.quota import quotas_of
 from pebbledrift.control.registry import Instance, MalformedHeartbeat, Registry, parse_heartbeat
 from pebbledrift.control.schema import check
@@ -127,7 +127,7 @@
     before = state.config
     for kind in OrderKind:
         judgement = state.copy(check).apply(Order(kind, 5, body))
-        assert judgement.verdict in (Verdict.INVALID, Verdict.TAKEN)
+        assert judgement.status in (OrderStatus.INVALID, OrderStatus.ACCEPTED)
     assert state.config == before
 
 
@@ -143,7 +143,7 @@
     }
     change = replaced(change, data.draw(st.sampled_from(paths(change))), data.draw(json_values))
     judgement = state.apply(Order(OrderKind.UPDATE, 5, json.dumps(change).encode()))
-    assert judgement.verdict in (Verdict.INVALID, Verdict.TAKEN)
+    assert judgement.status in (OrderStatus.INVALID, OrderStatus.ACCEPTED)
     assert state.config is not None
     RoutingTable(state.config)
 
--- a/tests/cluster/test_gossip.py
+++ b/tests/cluster/test_gossip.py
@@ -9,7 +9,7 @@
 import pytest
 
 from pebbledrift.cluster.boot import Address, format_address
-from pebbledrift.control.registry import Instance, InstanceState, gone
+from pebbledrift.control.registry import Instance, InstanceState, gone_instance
 from pebbledrift.overlay.endpoint import GossipService, open_endpoint, open_gossip
 from pebbledrift.overlay.messages import ConfigFetch, Subscribe, TokenGrant, TokenReport
 from pebbledrift.overlay.node import RelayNode, RelaySettings
@@ -89,9 +89,9 @@
 
     async def act(members: list[Member]) -> None:
         await eventually(lambda: bool(members[1].known))
-        members[1].service.gossip.spread([ready, gone("w1")])
+        members[1].service.gossip.spread([ready, gone_instance("w1")])
         await eventually(lambda: bool(members[0].heard))
-        assert members[0].heard == [gone("w1")]
+        assert members[0].heard == [gone_instance("w1")]
 
     asyncio.run(with_members(2, act))
 
--- a/tests/cluster/test_worst_days.py
+++ b/tests/cluster/test_worst_days.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from pebbledrift.control.orders import Verdict
+from pebbledrift.control.orders import OrderStatus
 from tests.cluster.plays import SLOW, THREE, chain_of, head_of, hold, tail_of, taken, verdict
 from tests.cluster.simulation import TAKEN, Call, Cluster, Process, change
 
@@ -178,7 +178,7 @@
     cluster.network.hold(other, head, 0.4)  # the first copy comes 0.6 s from now, the second after 0.4 s
     early = cluster.order(other, change(9, 7))
     cluster.run(0.5)
-    assert verdict(early) == Verdict.CONFLICT
+    assert verdict(early) == OrderStatus.CONFLICT
     cluster.order(head, change(7, 1))
     cluster.run(3.0)
     assert cluster.replicas[head].log.state.revision == 7
@@ -305,7 +305,7 @@
     cluster.run(2.0)
     held = cluster.order("a:1", change(2, 1, random.Random(3).randbytes(75_000).hex()))
     cluster.run(2.0)
-    assert verdict(held) == Verdict.TAKEN
+    assert verdict(held) == OrderStatus.ACCEPTED
     cluster.network.bytes_per_s = SLOW
     cluster.wipe("b:1")
     cluster.run(0.02)
@@ -323,7 +323,7 @@
     cluster.run(15.0)
     order = cluster.order("c:1", change(3, 2))
     cluster.run(3.0)
-    assert verdict(order) == Verdict.TAKEN
+    assert verdict(order) == OrderStatus.ACCEPTED
     for address in THREE:
         cluster.check_kept(address)
 
--- a/tests/cluster/worst_days.py
+++ b/tests/cluster/worst_days.py
@@ -360,11 +360,11 @@
             order = self.operators.make_order(base + 1, base)
             operation = self.operators.send(order, base + 1)
             self.cluster.run(ACK_S)
-            if operation.verdict in TAKEN:
+            if operation.status in TAKEN:
                 return
             read = self.operators.read()
             self.cluster.run(ACK_S)
-            assert read.verdict is not None, f"{what}: no read is answered"
+            assert read.status is not None, f"{what}: no read is answered"
             base = read.revision
         raise AssertionError(f"{what}: no change is taken")
 
