--- a/tests/cluster/test_linearizability.py
+++ b/tests/cluster/test_linearizability.py
@@ -5,19 +5,19 @@
 import pytest
 
 from tests.cluster.linearizability import Operation, is_linearizable
-from tests.cluster.operators import read_of, refusal_of, taken_of
+from tests.cluster.operators import accepted_change, read_result, refused_change
 
 
 def taken(begun: float, ended: float | None, base: int, revision: int) -> Operation[int]:
-    return Operation(begun, ended, taken_of(base, revision))
+    return Operation(begun, ended, accepted_change(base, revision))
 
 
 def read(begun: float, ended: float, revision: int) -> Operation[int]:
-    return Operation(begun, ended, read_of(revision))
+    return Operation(begun, ended, read_result(revision))
 
 
 def refused(begun: float, ended: float, base: int, revision: int) -> Operation[int]:
-    return Operation(begun, ended, refusal_of(base, revision))
+    return Operation(begun, ended, refused_change(base, revision))
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_slow_links.py
+++ b/tests/cluster/test_slow_links.py
@@ -11,7 +11,7 @@
 from pebbledrift.cluster.codec import frame
 from pebbledrift.control.orders import Order, OrderKind, OrderStatus
 from tests.cluster import worst_days
-from tests.cluster.plays import SLOW, THREE, head_of, taken, verdict
+from tests.cluster.plays import SLOW, THREE, head_of, status_of, submit_change
 from tests.cluster.simulation import Cluster, Process, change
 
 
@@ -64,7 +64,7 @@
     cluster.on_tick = watch
     call = cluster.order("a:1", order_of(1, random.Random(1).randbytes(700_000).hex()), 8.0)
     cluster.run(8.0)
-    assert verdict(call) == OrderStatus.ACCEPTED
+    assert status_of(call) == OrderStatus.ACCEPTED
     assert max(silent) < 0.5, f"{max(silent):.2f} s without a heartbeat"
 
 
@@ -106,14 +106,14 @@
     cluster.network.reset(head, successor, 0.2)
     call = cluster.order(head, order_of(1, random.Random(1).randbytes(500_000).hex()))
     cluster.run(1.5)
-    assert verdict(call) == OrderStatus.ACCEPTED
+    assert status_of(call) == OrderStatus.ACCEPTED
 
 
 def test_a_question_of_the_chain_is_answered_once_while_the_answer_is_on_its_way() -> None:
     """A change of 250 KB that is not committed goes to the member that becomes the successor."""
     cluster = Cluster(THREE)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     view = cluster.replicas["a:1"].agreement.view
     assert view is not None
     head, successor, _ = (node.partition("/")[0] for node in view.chain_nodes)
@@ -137,7 +137,7 @@
     cluster.loses = lambda m: bool(sent.append(1)) if isinstance(m, Submit) else False  # type: ignore[func-returns-value]
     call = cluster.order(other, order_of(1, random.Random(1).randbytes(500_000).hex()), 8.0)
     cluster.run(6.0)
-    assert verdict(call) == OrderStatus.ACCEPTED and len(sent) == 1
+    assert status_of(call) == OrderStatus.ACCEPTED and len(sent) == 1
 
 
 def test_a_transfer_goes_on_when_its_source_is_gone() -> None:
--- a/tests/cluster/test_worst_days.py
+++ b/tests/cluster/test_worst_days.py
@@ -10,7 +10,7 @@
 import pytest
 
 from pebbledrift.control.orders import OrderStatus
-from tests.cluster.plays import SLOW, THREE, chain_of, head_of, hold, tail_of, taken, verdict
+from tests.cluster.plays import SLOW, THREE, chain_of, head_of, hold, status_of, submit_change, tail_of
 from tests.cluster.simulation import TAKEN, Call, Cluster, Process, change
 
 # 1: cut off, or standing still, for a while
@@ -20,14 +20,14 @@
     """What its sockets held when it stood still says nothing of the time when it goes on."""
     cluster = Cluster(THREE)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     head = head_of(cluster)
     others = [address for address in THREE if address != head]
     cluster.freeze(head, 5.0)
     cluster.run(0.6)
     cluster.cut_off(head, others)
     cluster.run(1.9)
-    taken(cluster, others[0], 2, 1)
+    submit_change(cluster, others[0], 2, 1)
     stood: list[float] = []
 
     def watch(process: Process) -> None:
@@ -42,7 +42,7 @@
 def test_who_is_cut_off_reads_nothing_refuses_nothing_and_acknowledges_nothing() -> None:
     cluster = Cluster(THREE)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     head = head_of(cluster)
     others = [address for address in THREE if address != head]
     cluster.cut_off(head, others)
@@ -53,10 +53,10 @@
         cluster.order(head, change(2, 1, "x")),
     ]
     cluster.run(3.0)
-    taken(cluster, others[0], 2, 1)
+    submit_change(cluster, others[0], 2, 1)
     calls += [cluster.order(head, None), cluster.order(head, change(2, 1, "y"))]
     cluster.run(10.0)
-    assert [verdict(call) for call in calls] == [None] * 5
+    assert [status_of(call) for call in calls] == [None] * 5
     assert not cluster.replicas[head].current(cluster.now)
     cluster.heal()
     cluster.run(3.0)
@@ -71,12 +71,12 @@
     """
     cluster = Cluster((*THREE, "d:1", "e:1"), seed, tolerated=2)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     head, second, third, fourth, fifth = chain_of(cluster, "a:1")
     cluster.cut_off(head)
     cluster.kill(second)
     cluster.run(1.5)
-    taken(cluster, third, 2, 1)
+    submit_change(cluster, third, 2, 1)
     for back, lost in ((second, fourth), (fourth, fifth)):
         cluster.start(back)
         cluster.run(2.0)
@@ -93,7 +93,7 @@
 def test_a_refusal_of_an_epoch_that_is_over_is_not_answered() -> None:
     refused = [call for seed in range(10) if (call := refused_after_a_cut(seed)) is not None]
     assert refused
-    wrong = [call for call in refused if verdict(call) not in (None, *TAKEN)]
+    wrong = [call for call in refused if status_of(call) not in (None, *TAKEN)]
     assert not wrong, "2 is in force, and a change on it was refused"
 
 
@@ -105,7 +105,7 @@
     """
     cluster = Cluster(THREE, seed)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     head, second, third = chain_of(cluster, "a:1")
     cluster.kill(third)
     cluster.run(2.0)
@@ -130,7 +130,7 @@
     for revision in range(1, 80):
         cluster.order(THREE[revision % 3], change(revision, revision - 1))
         cluster.run(0.02)
-    told = max(c.revision for c in cluster.calls if verdict(c) in TAKEN)
+    told = max(c.revision for c in cluster.calls if status_of(c) in TAKEN)
     for address in THREE:
         cluster.kill(address, power=True)
     low: list[int] = []
@@ -154,7 +154,7 @@
     """A refusal waits at a tail whose disk is slow; it is not the answer to what is asked next."""
     cluster = Cluster(THREE, seed, diskless=("d:1",))
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     cluster.disks[tail_of(cluster)].stalled_until = cluster.now + 0.35
     cluster.order(head_of(cluster), change(2, 1))
     cluster.run(0.01)
@@ -165,20 +165,20 @@
     cluster.run(0.04)
     call = cluster.order("d:1", change(3, 2))
     cluster.run(3.0)
-    assert verdict(call) in (None, *TAKEN)
+    assert status_of(call) in (None, *TAKEN)
     assert cluster.replicas["a:1"].log.state.revision == 3
 
 
 def test_a_copy_of_a_refused_call_that_comes_late_is_refused_again() -> None:
     cluster = Cluster(THREE)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     head = head_of(cluster)
     other = next(address for address in THREE if address != head)
     cluster.network.hold(other, head, 0.4)  # the first copy comes 0.6 s from now, the second after 0.4 s
     early = cluster.order(other, change(9, 7))
     cluster.run(0.5)
-    assert verdict(early) == OrderStatus.CONFLICT
+    assert status_of(early) == OrderStatus.CONFLICT
     cluster.order(head, change(7, 1))
     cluster.run(3.0)
     assert cluster.replicas[head].log.state.revision == 7
@@ -190,16 +190,16 @@
     first = cluster.order("a:1", change(1, 0, "one"))
     second = cluster.order("b:1", change(1, 0, "another"))
     cluster.run(1.0)
-    assert sorted([verdict(first) in TAKEN, verdict(second) in TAKEN]) == [False, True]
-    order = first.order if verdict(first) in TAKEN else second.order
-    taken(cluster, "c:1", 2, 1)
+    assert sorted([status_of(first) in TAKEN, status_of(second) in TAKEN]) == [False, True]
+    order = first.order if status_of(first) in TAKEN else second.order
+    submit_change(cluster, "c:1", 2, 1)
     for address in THREE:
         cluster.kill(address, power=True)
         cluster.start(address)
     cluster.run(3.0)
     again = [cluster.order(address, order) for address in THREE]
     cluster.run(1.0)
-    assert all(verdict(call) in TAKEN for call in again)
+    assert all(status_of(call) in TAKEN for call in again)
     assert cluster.replicas["a:1"].log.state.revision == 2, "what was taken before changes nothing"
 
 
@@ -215,7 +215,7 @@
     """B is gone for good, D comes; all lose power; the moment that this loss is over a disk is lost."""
     cluster = Cluster(THREE, seed=2, catch_up_s=catch_up_s)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     cluster.wipe("b:1")
     cluster.run(1.0)
     cluster.start("d:1")
@@ -229,7 +229,7 @@
     cluster.wipe(victim)
     cluster.run(3.0)
     left = [address for address in ("a:1", "c:1", "d:1") if address != victim]
-    taken(cluster, left[0], 2, 1)
+    submit_change(cluster, left[0], 2, 1)
     cluster.check_kept(left[1])
 
 
@@ -237,7 +237,7 @@
 def test_a_newcomer_that_begins_before_the_dead_is_missed_takes_its_place(after_s: float) -> None:
     cluster = Cluster(THREE, seed=7)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     sizes: set[int] = set()
 
     def watch(process: Process) -> None:
@@ -258,7 +258,7 @@
 def test_whoever_is_lost_next_the_others_hold_all(victim: str) -> None:
     cluster = Cluster(THREE, seed=3)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     revision = 1
     for _ in range(4):
         lost = {"head": head_of(cluster), "tail": tail_of(cluster), "newest": list(cluster.processes)[-1]}[
@@ -269,7 +269,7 @@
         cluster.start(lost)
         cluster.run(4.02)
         revision += 1
-        taken(cluster, head_of(cluster), revision, revision - 1)
+        submit_change(cluster, head_of(cluster), revision, revision - 1)
     for address in THREE:
         cluster.check_kept(address)
 
@@ -278,7 +278,7 @@
     """The others' disks are slow: a process that ended at once would take one of two copies with it."""
     cluster = Cluster(THREE, seed=5)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     cluster.start("d:1")
     cluster.run(2.0)
     cluster.disks["b:1"].stalled_until = cluster.now + 1.5
@@ -300,12 +300,12 @@
     """
     cluster = Cluster(THREE, seed=6)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     cluster.kill("c:1")
     cluster.run(2.0)
     held = cluster.order("a:1", change(2, 1, random.Random(3).randbytes(75_000).hex()))
     cluster.run(2.0)
-    assert verdict(held) == OrderStatus.ACCEPTED
+    assert status_of(held) == OrderStatus.ACCEPTED
     cluster.network.bytes_per_s = SLOW
     cluster.wipe("b:1")
     cluster.run(0.02)
@@ -323,7 +323,7 @@
     cluster.run(15.0)
     order = cluster.order("c:1", change(3, 2))
     cluster.run(3.0)
-    assert verdict(order) == OrderStatus.ACCEPTED
+    assert status_of(order) == OrderStatus.ACCEPTED
     for address in THREE:
         cluster.check_kept(address)
 
@@ -333,7 +333,7 @@
     """A wants a chain with C, as B stands still; C is cut off meanwhile, and it is B that promises."""
     cluster = Cluster(THREE, seed)
     cluster.run(2.0)
-    taken(cluster, "a:1", 1, 0)
+    submit_change(cluster, "a:1", 1, 0)
     head, second, third = chain_of(cluster, "a:1")
     cluster.freeze(second, 1.0)
     cluster.run(0.5)
@@ -341,7 +341,7 @@
     cluster.run(0.45)
     call = cluster.order(head, change(2, 1))
     ended = cluster.now + 3.0
-    while verdict(call) is None and cluster.now < ended:
+    while status_of(call) is None and cluster.now < ended:
         cluster.run(0.001)
     cluster.wipe(head)
     cluster.heal()
