--- a/pebbledrift/chain/requests.py
+++ b/pebbledrift/chain/requests.py
@@ -11,12 +11,12 @@
 from pebbledrift.chain.messages import Answer, Barrier, CallId, NotHead, Submit
 from pebbledrift.chain.outbox import Outbox
 from pebbledrift.chain.view import address_of
-from pebbledrift.control.orders import Check, ConfigurationState, Judgement, Order, Verdict
+from pebbledrift.control.orders import Check, ConfigurationState, Order, OrderResult, OrderStatus
 
 RESEND_AFTER_S = 0.4  # a call without an answer is submitted to the head again
 MAX_PENDING_CALLS = 256
 MAX_REFUSED_CALLS = 4096  # refused calls that the head of an epoch remembers
-JudgementCallback = Callable[[Judgement | None], None]
+JudgementCallback = Callable[[OrderResult | None], None]
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
         self._pending: dict[CallId, PendingCall] = {}
         self._number = 0
         self._state: ConfigurationState | None = None  # includes uncommitted entries; at the head only
-        self._refused: dict[CallId, Judgement] = {}  # of the current epoch; at the head only
+        self._refused: dict[CallId, OrderResult] = {}  # of the current epoch; at the head only
 
     # at the keeper where the call was made
 
@@ -76,7 +76,7 @@
         head = address_of(view.chain[0].node)
         self.outbox.send(head, Submit(call.id, view.epoch, call.order))
 
-    def _finish(self, call: PendingCall, judgement: Judgement | None) -> None:
+    def _finish(self, call: PendingCall, judgement: OrderResult | None) -> None:
         if self._pending.pop(call.id, None) is not None:
             call.on_done(judgement)
 
@@ -113,10 +113,10 @@
     def on_commit(self) -> None:
         """Finish the calls that the newly committed entries answer."""
         for call in list(self._pending.values()):
-            if (call.order is not None and call.order.digest in self.log.state.taken) or (
+            if (call.order is not None and call.order.digest in self.log.state.accepted) or (
                 call.read_sequence is not None and self.log.committed.sequence >= call.read_sequence
             ):
-                self._finish(call, Judgement(Verdict.TAKEN))
+                self._finish(call, OrderResult(OrderStatus.ACCEPTED))
 
     # at the head
 
@@ -137,20 +137,20 @@
             self.link.start_barrier(message.call, None)
             return
         judgement = self._refused.get(message.call) or self._judge(message.order)
-        if judgement.verdict == Verdict.TAKEN:
+        if judgement.status == OrderStatus.ACCEPTED:
             self.link.append(message.order)
             return
         self._remember_refusal(message.call, judgement)
         self.link.start_barrier(message.call, judgement)
 
-    def _judge(self, order: Order) -> Judgement:
+    def _judge(self, order: Order) -> OrderResult:
         if self._state is None:
             self._state = self.log.speculative(self._check)
         return self._state.apply(order)
 
-    def _remember_refusal(self, call: CallId, judgement: Judgement) -> None:
+    def _remember_refusal(self, call: CallId, judgement: OrderResult) -> None:
         """Remember a refused call, so that a delayed copy of it is refused whatever the state is by then."""
-        if judgement.verdict == Verdict.TAKEN_BEFORE:
+        if judgement.status == OrderStatus.ALREADY_ACCEPTED:
             return
         self._refused[call] = judgement
         while len(self._refused) > MAX_REFUSED_CALLS:
--- a/pebbledrift/keeper/api.py
+++ b/pebbledrift/keeper/api.py
@@ -12,7 +12,7 @@
 from cheroot import wsgi
 
 from pebbledrift.cluster.boot import Address
-from pebbledrift.control.orders import Judgement, Order, OrderKind, Verdict
+from pebbledrift.control.orders import Order, OrderKind, OrderResult, OrderStatus
 from pebbledrift.control.registry import Instance, MalformedHeartbeat, parse_heartbeat
 
 log = logging.getLogger(__name__)
@@ -32,10 +32,10 @@
     503: "503 Service Unavailable",
 }
 STATUS_OF_VERDICT = {
-    Verdict.TAKEN: 200,
-    Verdict.TAKEN_BEFORE: 200,
-    Verdict.CONFLICT: 412,
-    Verdict.INVALID: 400,
+    OrderStatus.ACCEPTED: 200,
+    OrderStatus.ALREADY_ACCEPTED: 200,
+    OrderStatus.CONFLICT: 412,
+    OrderStatus.INVALID: 400,
 }
 
 
@@ -59,7 +59,7 @@
 class ControlBackend(Protocol):
     """The keeper's side of the control interface; its coroutines run on the keeper's event loop."""
 
-    async def submit_order(self, order: Order) -> Judgement | None:
+    async def submit_order(self, order: Order) -> OrderResult | None:
         """Carries out an operator's order; returns None if its outcome is unknown."""
 
     async def read_config(self) -> dict[str, Any] | None:
@@ -158,7 +158,7 @@
         judgement = self._on_loop(self._backend.submit_order(Order(kind, int(base), body)))
         if judgement is None:
             return Reply(503, {"error": "no clear answer: send the same again"})
-        status = STATUS_OF_VERDICT[Verdict(judgement.verdict)]
+        status = STATUS_OF_VERDICT[OrderStatus(judgement.status)]
         return Reply(status, {} if status == 200 else {"error": judgement.reason})
 
 
--- a/pebbledrift/keeper/lending.py
+++ b/pebbledrift/keeper/lending.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from pebbledrift.cluster.peaks import RecentPeak
-from pebbledrift.control.quota import LoanPriority, QuotaWindow, SpendingReport, TokenBank, quotas_of
+from pebbledrift.control.quota import LoanPriority, QuotaLender, QuotaWindow, SpendingReport, quotas_of
 from pebbledrift.overlay.messages import TokenGrant, TokenReport, TokenRequest
 from spoolpier.records import record
 
@@ -25,11 +25,11 @@
     report: SpendingReport
 
 
-class QuotaLender:
+class LendingService:
     """Lends quota tokens to routers while this keeper is the head of the chain. Times are loop times."""
 
     def __init__(self, window: QuotaWindow) -> None:
-        self._bank = TokenBank(window)
+        self._bank = QuotaLender(window)
         self._epoch = 0
         self._was_head = False
         self._cleared_at = 0.0
@@ -68,7 +68,7 @@
         routers, since = self._router_count.value, now - self._cleared_at
         if since > REPORT_WINDOW_S or (len(self._reports) < routers and since < MISSING_REPORTS_WAIT_S):
             return
-        self._bank.settle([received.report for received in self._reports.values()], routers, now)
+        self._bank.reconcile([received.report for received in self._reports.values()], routers, now)
 
     def status(self, now: float) -> dict[str, dict[str, float]]:
         """Returns by tenant its rate and burst, the tokens lent in the window, and the window's maximum."""
--- a/pebbledrift/keeper/service.py
+++ b/pebbledrift/keeper/service.py
@@ -13,12 +13,12 @@
 from pebbledrift.chain.view import address_of
 from pebbledrift.cluster.boot import BootSettings
 from pebbledrift.cluster.transport import Channel, Hello, serve
-from pebbledrift.control.orders import Judgement, Order
+from pebbledrift.control.orders import Order, OrderResult
 from pebbledrift.control.quota import QuotaWindow
 from pebbledrift.control.registry import Instance
 from pebbledrift.keeper.disk import DiskWriter
 from pebbledrift.keeper.instance_store import InstanceStore
-from pebbledrift.keeper.lending import QuotaLender
+from pebbledrift.keeper.lending import LendingService
 from pebbledrift.keeper.peers import KeeperNetwork
 from pebbledrift.keeper.startup import founder_addresses, internal_address, make_replica, open_storage
 from pebbledrift.keeper.workers import WorkerTracker
@@ -92,7 +92,7 @@
             self.replica.is_quorum,
             self.incarnation,
         )
-        self.lending = QuotaLender(QuotaWindow(boot.bounds.quota_window_s, boot.bounds.quota_overshoot))
+        self.lending = LendingService(QuotaWindow(boot.bounds.quota_window_s, boot.bounds.quota_overshoot))
         self._router_reports: dict[Channel, RouterReport] = {}  # the last report of each connection
         self._next_state_at = 0.0
         self._last_summary: tuple[Any, ...] = ()
@@ -299,7 +299,7 @@
 
     # Control interface (see api.ControlBackend)
 
-    async def submit_order(self, order: Order) -> Judgement | None:
+    async def submit_order(self, order: Order) -> OrderResult | None:
         """Carries out an operator's order; returns None if its outcome is unknown."""
         return await self._call(order)
 
@@ -308,11 +308,11 @@
         judgement = await self._call(None)
         return self.replica.log.state.config if judgement is not None else None
 
-    async def _call(self, order: Order | None) -> Judgement | None:
+    async def _call(self, order: Order | None) -> OrderResult | None:
         """Passes an order, or a read if it is None, to the replica; None if there is no clear answer."""
-        done: asyncio.Future[Judgement | None] = self.loop.create_future()
+        done: asyncio.Future[OrderResult | None] = self.loop.create_future()
 
-        def finish(judgement: Judgement | None) -> None:
+        def finish(judgement: OrderResult | None) -> None:
             if not done.done():
                 done.set_result(judgement)
 
--- a/pebbledrift/keeper/status.py
+++ b/pebbledrift/keeper/status.py
@@ -7,7 +7,7 @@
 from pebbledrift.chain.replica import Replica
 from pebbledrift.cluster.boot import BootSettings
 from pebbledrift.control.registry import Instance, InstanceState
-from pebbledrift.keeper.lending import QuotaLender
+from pebbledrift.keeper.lending import LendingService
 from pebbledrift.keeper.peers import KeeperNetwork
 from pebbledrift.keeper.workers import WorkerTracker
 from pebbledrift.overlay.root import RelayRoot
@@ -21,7 +21,7 @@
     network: KeeperNetwork
     relays: RelayRoot
     workers: WorkerTracker
-    lending: QuotaLender
+    lending: LendingService
 
     def router_revisions(self) -> dict[str, int]:
         """Returns the configuration revision in force at each reporting router, by its name; 0 for none."""
--- a/pebbledrift/keeper/workers.py
+++ b/pebbledrift/keeper/workers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pebbledrift.control.registry import Instance, InstanceState, Registry, gone
+from pebbledrift.control.registry import Instance, InstanceState, Registry, gone_instance
 from pebbledrift.keeper.instance_store import InstanceStore
 from pebbledrift.keeper.peers import KeeperNetwork
 from pebbledrift.overlay.messages import (
@@ -87,7 +87,7 @@
         no majority of the keepers confirms that in time.
         """
         if self.registry.is_gone(reported.id):
-            return await self._confirm(gone(reported.id))
+            return await self._confirm(gone_instance(reported.id))
         change = self.registry.merge(reported, self._loop.time())
         registered = self.registry.instances.get(reported.id)
         if registered is None:
@@ -99,7 +99,7 @@
 
     async def deregister(self, instance: str) -> bool:
         """Marks an instance as gone, by id; returns whether that may be acknowledged."""
-        ended = gone(instance)
+        ended = gone_instance(instance)
         change = self.registry.merge(ended, self._loop.time())
         if change is not None:
             self._announce(change)
@@ -194,7 +194,7 @@
         for instance, sequence in message.heard:
             registered = self.registry.instances.get(instance)
             if registered is not None and sequence >= registered.sequence:
-                self.registry.heard[instance] = now
+                self.registry.last_heartbeat_at[instance] = now
 
     def merge(self, instances: tuple[Instance, ...]) -> None:
         """Merges instances received from elsewhere, and publishes those that changed."""
@@ -224,4 +224,4 @@
         if self._has_unsaved_changes and self._store is not None:
             self._has_unsaved_changes = False
             self._store.save(self.registry.snapshot())
-        self.registry.forget(self.registry.silent(now, FORGET_AFTER_S))
+        self.registry.expire(self.registry.silent(now, FORGET_AFTER_S))
--- a/tests/cluster/explorer.py
+++ b/tests/cluster/explorer.py
@@ -23,7 +23,7 @@
 from pebbledrift.chain.replica import Replica, ReplicaSettings
 from pebbledrift.chain.view import FOUNDING_GENERATION, founding_view, node_name
 from pebbledrift.cluster import codec
-from pebbledrift.control.orders import Judgement, Order, Verdict
+from pebbledrift.control.orders import Order, OrderResult, OrderStatus
 from tests.cluster.simulation import TAKEN, change, check
 
 ADDRESSES = ("a:1", "b:1", "c:1")
@@ -61,7 +61,7 @@
         self.links: dict[tuple[str, str], deque[bytes]] = {}
         self.writes: dict[str, deque[Write]] = {}
         self.committed: dict[int, Entry] = {}
-        self.answers: dict[int, list[Judgement | None]] = {0: [], 1: []}
+        self.answers: dict[int, list[OrderResult | None]] = {0: [], 1: []}
         self._pending_loss: Loss | None = None  # the loss that has not happened yet
         self._restart_at: dict[str, float] = {}
         for address in ADDRESSES:
@@ -205,15 +205,15 @@
             for judgement in self.answers[number]:
                 if judgement is None:
                     continue
-                assert (judgement.verdict in TAKEN) == (order in orders), f"{judgement}, committed: {orders}"
-        repeated = [list[Judgement | None](), list[Judgement | None]()]
+                assert (judgement.status in TAKEN) == (order in orders), f"{judgement}, committed: {orders}"
+        repeated = [list[OrderResult | None](), list[OrderResult | None]()]
         for number, order in enumerate(ORDERS):
             self.replicas["c:1"].call(order, self.now, 3.0, repeated[number].append)
         self._flush("c:1")
         self._run_until(lambda: bool(repeated[0] and repeated[1]), 4.0)
-        verdicts = [answers[0].verdict if answers and answers[0] else None for answers in repeated]
+        verdicts = [answers[0].status if answers and answers[0] else None for answers in repeated]
         assert sorted(verdict in TAKEN for verdict in verdicts) == [False, True], f"repeated: {verdicts}"
-        assert Verdict.CONFLICT in verdicts, f"repeated: {verdicts}"
+        assert OrderStatus.CONFLICT in verdicts, f"repeated: {verdicts}"
         for address, replica in self.replicas.items():
             assert replica.log.state.revision == 1, f"{address} has not applied the change"
 
--- a/tests/cluster/test_linearizability.py
+++ b/tests/cluster/test_linearizability.py
@@ -5,19 +5,19 @@
 import pytest
 
 from tests.cluster.linearizability import Operation, is_linearizable
-from tests.cluster.operators import read_of, refusal_of, taken_of
+from tests.cluster.operators import accepted_change, read_result, refused_change
 
 
 def taken(started_at: float, ended_at: float | None, base: int, revision: int) -> Operation[int]:
-    return Operation(started_at, ended_at, taken_of(base, revision))
+    return Operation(started_at, ended_at, accepted_change(base, revision))
 
 
 def read(started_at: float, ended_at: float, revision: int) -> Operation[int]:
-    return Operation(started_at, ended_at, read_of(revision))
+    return Operation(started_at, ended_at, read_result(revision))
 
 
 def refused(started_at: float, ended_at: float, base: int, revision: int) -> Operation[int]:
-    return Operation(started_at, ended_at, refusal_of(base, revision))
+    return Operation(started_at, ended_at, refused_change(base, revision))
 
 
 @pytest.mark.parametrize(
