--- a/pebbledrift/keeper/service.py
+++ b/pebbledrift/keeper/service.py
@@ -24,7 +24,7 @@
 from pebbledrift.keeper.workers import WorkerDesk
 from pebbledrift.overlay.messages import (
     ROLE_KEEPER,
-    InstanceBeats,
+    InstanceHeartbeats,
     InstanceSnapshot,
     KeeperState,
     RouterReport,
@@ -81,7 +81,7 @@
             self.network,
             boot.heartbeat_ms / 1000,
             store,
-            self.relays.publish_news,
+            self.relays.publish_instances,
             self.replica.is_quorum,
             self.incarnation,
         )
@@ -174,8 +174,8 @@
         if self.replica.receive(sender, message, now):
             self._flush()
             return
-        if isinstance(message, InstanceBeats):
-            self.lending.note_routers(message.routers, now)
+        if isinstance(message, InstanceHeartbeats):
+            self.lending.note_routers(message.router_count, now)
         self.workers.from_keeper(sender, message)
 
     def _keeper_up(self, address: str) -> None:
--- a/pebbledrift/keeper/workers.py
+++ b/pebbledrift/keeper/workers.py
@@ -11,11 +11,11 @@
 from pebbledrift.keeper.instance_store import InstanceStore
 from pebbledrift.keeper.peers import KeeperNetwork
 from pebbledrift.overlay.messages import (
-    InstanceBeats,
-    InstanceNews,
+    InstanceHeartbeats,
     InstanceSnapshot,
-    NewsReceived,
-    NumberedNews,
+    InstanceUpdate,
+    NumberedUpdate,
+    UpdateReceived,
 )
 
 CONFIRM_S = 0.8  # a majority of the keepers has so long to confirm that a worker leaves
@@ -101,7 +101,7 @@
         self._changed = True
         self._publish((news,))
         if news.state == InstanceState.READY:
-            self._network.send_keepers(InstanceNews((news,)))
+            self._network.send_keepers(InstanceUpdate((news,)))
 
     async def _confirm(self, leaving: Instance) -> bool:
         """Whether a majority of the keepers knows within CONFIRM_S that an instance leaves, on their disks.
@@ -118,7 +118,9 @@
         self._save(lambda: self._confirmed_by(number, self._network.address))
         try:
             async with asyncio.timeout(CONFIRM_S):
-                await self._until_confirmed(NumberedNews(number, self._incarnation, (leaving,)), confirmation)
+                await self._until_confirmed(
+                    NumberedUpdate(number, self._incarnation, (leaving,)), confirmation
+                )
         except TimeoutError:
             return False
         finally:
@@ -128,7 +130,7 @@
             del self._confirmed[next(iter(self._confirmed))]
         return True
 
-    async def _until_confirmed(self, news: NumberedNews, confirmation: _Confirmation) -> None:
+    async def _until_confirmed(self, news: NumberedUpdate, confirmation: _Confirmation) -> None:
         while not confirmation.done.done():
             self._network.send_keepers(news)
             await asyncio.wait((confirmation.done,), timeout=CONFIRM_AGAIN_S)
@@ -156,24 +158,24 @@
 
     def from_keeper(self, sender: str, message: object) -> None:
         """What another keeper tells of workers."""
-        if isinstance(message, NumberedNews):
+        if isinstance(message, NumberedUpdate):
             self.merge(message.instances)
-            received = NewsReceived(message.number, message.asker)
+            received = UpdateReceived(message.number, message.incarnation)
             self._save(lambda: self._network.send(sender, received))
-        elif isinstance(message, NewsReceived):
-            if message.asker == self._incarnation:
+        elif isinstance(message, UpdateReceived):
+            if message.incarnation == self._incarnation:
                 self._confirmed_by(message.number, sender)
-        elif isinstance(message, InstanceNews):
+        elif isinstance(message, InstanceUpdate):
             self.merge(message.instances)
         elif isinstance(message, InstanceSnapshot):
             self.merge(message.instances)
             self._complete = self._complete or message.complete
-        elif isinstance(message, InstanceBeats):
+        elif isinstance(message, InstanceHeartbeats):
             self._heard_elsewhere(message)
 
-    def _heard_elsewhere(self, message: InstanceBeats) -> None:
+    def _heard_elsewhere(self, message: InstanceHeartbeats) -> None:
         now = self._loop.time()
-        for instance, sequence in message.heard:
+        for instance, sequence in message.sequences:
             known = self.registry.instances.get(instance)
             if known is not None and sequence >= known.sequence:
                 self.registry.heard[instance] = now
@@ -196,7 +198,7 @@
         if now < self._beats_at:
             return
         self._beats_at = now + BEATS_S
-        self._network.send_keepers(InstanceBeats(tuple(self._beats.items()), self._network.router_count))
+        self._network.send_keepers(InstanceHeartbeats(tuple(self._beats.items()), self._network.router_count))
         self._beats = {}
         if self._changed and self._store is not None:
             self._changed = False
--- a/pebbledrift/overlay/__init__.py
+++ b/pebbledrift/overlay/__init__.py
@@ -1,1 +1,1 @@
-"""How the control state reaches every router: relays, partial views, and what is told on them."""
+"""Distribution of the control state to the routers: relay tree, peer sampling, and their messages."""
--- a/pebbledrift/overlay/endpoint.py
+++ b/pebbledrift/overlay/endpoint.py
@@ -1,4 +1,4 @@
-"""The datagram socket of a node, and the gossip over it."""
+"""A node's datagram socket, and the gossip that uses it."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 log = logging.getLogger(__name__)
 
-DATAGRAM_MOST = 4096
+MAX_DATAGRAM_BYTES = 4096
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """Messages as datagrams; what is no message is dropped."""
+    """Sends and receives messages as datagrams; datagrams that do not decode to a message are dropped."""
 
     def __init__(self, received: Callable[[Any], None]) -> None:
         self._received = received
@@ -31,29 +31,29 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(
             asyncio.DatagramTransport, transport
-        )  # the event loop's own is of no public type
+        )  # the event loop passes a private type that implements DatagramTransport
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        if len(data) > DATAGRAM_MOST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             return
         try:
-            told = decode(data)
+            message = decode(data)
         except MessageError as error:
-            log.info("datagram is no message", extra={"peer": addr[0], "error": str(error)})
+            log.info("dropped a malformed datagram", extra={"peer": addr[0], "error": str(error)})
             return
-        self._received(told)
+        self._received(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there: the shuffles will forget the address."""
+        """Ignore that nobody listens at an address: the shuffles remove such an entry from the view."""
 
     def send(self, address: str, value: Any) -> None:
-        """Send a message; it may be lost."""
+        """Send a message without a guarantee of delivery; does nothing if the socket is closed."""
         if self._transport is None or self._transport.is_closing():
             return
         try:
             target = parse_address(address, "peer")
         except BootError:
-            return  # a node told an address that is none
+            return  # another node reported a malformed address
         self._transport.sendto(encode(value), target)
 
     def close(self) -> None:
@@ -63,7 +63,7 @@
 
 
 async def open_endpoint(address: Address, received: Callable[[Any], None]) -> DatagramEndpoint:
-    """Open a socket at an address."""
+    """Bind a datagram socket to an address; raises OSError if this fails."""
     loop = asyncio.get_running_loop()
     _, endpoint = await loop.create_datagram_endpoint(lambda: DatagramEndpoint(received), local_addr=address)
     return endpoint
@@ -71,13 +71,13 @@
 
 @record
 class GossipService:
-    """Gossip and the socket that it goes over."""
+    """The gossip of a node and its socket."""
 
     gossip: Gossip
     endpoint: DatagramEndpoint
 
     def relays(self) -> dict[str, str]:
-        """The routers of the partial view: zone by address."""
+        """Return the zone by address of the routers in the partial view."""
         return {peer.address: peer.zone for peer in self.gossip.view.peers if not peer.is_keeper}
 
 
@@ -85,18 +85,21 @@
     address: Address,
     own: PeerDescriptor,
     contacts: Iterable[PeerDescriptor],
-    heard: Callable[[tuple[Instance, ...]], None],
+    on_instances: Callable[[tuple[Instance, ...]], None],
 ) -> GossipService | None:
-    """Take part in gossip; None where there is no socket to be had."""
-    told: list[Any] = []  # what comes before the gossip is made
-    receive: Callable[[Any], None] = told.append
+    """Start gossip on a socket at `address`; returns None if the socket cannot be opened.
+
+    `on_instances` is called with worker instances that other nodes report as leaving.
+    """
+    early: list[Any] = []  # messages received before the Gossip object exists
+    receive: Callable[[Any], None] = early.append
     try:
         endpoint = await open_endpoint(address, lambda message: receive(message))
     except OSError as error:
-        log.error("no gossip", extra={"error": str(error)})
+        log.error("gossip socket could not be opened", extra={"error": str(error)})
         return None
-    gossip = Gossip(own, contacts, random.randrange(2**32), endpoint.send, heard)
+    gossip = Gossip(own, contacts, random.randrange(2**32), endpoint.send, on_instances)
     receive = gossip.received
-    for message in told:
+    for message in early:
         gossip.received(message)
     return GossipService(gossip, endpoint)
--- a/pebbledrift/overlay/gossip.py
+++ b/pebbledrift/overlay/gossip.py
@@ -1,8 +1,8 @@
-"""Gossip over datagrams: the shuffles of the partial views, and rumours of workers that leave.
+"""Gossip over datagrams: shuffles of the partial views, and rumors of workers that leave.
 
-A worker's end has to be known everywhere within a second or two, also where the keeper that was told is cut
-off from the other keepers. Beside the way down the relays, whoever hears of one for the first time passes it
-on to a few nodes of its partial view.
+Every router has to learn within a second or two that a worker leaves, even if the keeper that received the
+report is cut off from the other keepers. Therefore, in addition to the relay tree, each node that learns of a
+leaving worker for the first time forwards this to a few nodes of its partial view.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from pebbledrift.control.registry import Instance, InstanceState
 from pebbledrift.overlay.sampling import PartialView, PeerDescriptor, Shuffle
 
-SHUFFLE_S = 1.0
+SHUFFLE_INTERVAL_S = 1.0
 FANOUT = 3
-RUMOR_MOST = 6  # instances in one datagram
+MAX_RUMOR_INSTANCES = 6  # instances in one datagram
 
 
 @message(142)
 class Rumor:
-    """Workers that leave or have left."""
+    """Worker instances that are draining or have ended."""
 
     instances: tuple[Instance, ...]
 
 
 class Gossip:
-    """The datagrams of one node. It has no connection: `send` may lose what it is given."""
+    """Gossip protocol of one node, without I/O. The network behind `send` may lose messages."""
 
     def __init__(
         self,
@@ -36,38 +36,38 @@
         contacts: Iterable[PeerDescriptor],
         seed: int,
         send: Callable[[str, Any], None],
-        heard: Callable[[tuple[Instance, ...]], None],
+        on_instances: Callable[[tuple[Instance, ...]], None],
     ) -> None:
         self._contacts = tuple(contacts)
         self.view = PartialView(own, self._contacts, seed)
         self._random = random.Random(seed)
-        self._send, self._heard = send, heard
+        self._send, self._on_instances = send, on_instances
         self._next_round = 0.0
 
     def tick(self, now: float) -> None:
-        """Shuffle when it is time; an empty view begins anew with the contacts."""
+        """Shuffle when a round is due; an empty view is filled with the initial contacts first."""
         if now < self._next_round:
             return
-        self._next_round = now + SHUFFLE_S * self._random.uniform(0.8, 1.2)
+        self._next_round = now + SHUFFLE_INTERVAL_S * self._random.uniform(0.8, 1.2)
         if not self.view.peers:
-            self.view.introduce(self._contacts)
-        begun = self.view.begin_round()
-        if begun is not None:
-            self._send(*begun)
+            self.view.add_contacts(self._contacts)
+        request = self.view.begin_round()
+        if request is not None:
+            self._send(*request)
 
-    def received(self, told: object) -> None:
-        """A datagram came."""
-        if isinstance(told, Shuffle):
-            answer = self.view.receive(told)
-            if answer is not None:
-                self._send(told.sender, answer)
-        elif isinstance(told, Rumor):
-            self._heard(told.instances)
+    def received(self, message: object) -> None:
+        """Handle a message that was received as a datagram."""
+        if isinstance(message, Shuffle):
+            reply = self.view.receive(message)
+            if reply is not None:
+                self._send(message.sender, reply)
+        elif isinstance(message, Rumor):
+            self._on_instances(message.instances)
 
-    def spread(self, news: Iterable[Instance]) -> None:
-        """Pass on what was heard for the first time, if it tells of workers that leave."""
-        leaving = [instance for instance in news if instance.state != InstanceState.READY]
-        for start in range(0, len(leaving), RUMOR_MOST):
-            rumor = Rumor(tuple(leaving[start : start + RUMOR_MOST]))
+    def spread(self, instances: Iterable[Instance]) -> None:
+        """Send those of the new or changed instances that are leaving to a few random nodes of the view."""
+        leaving = [instance for instance in instances if instance.state != InstanceState.READY]
+        for start in range(0, len(leaving), MAX_RUMOR_INSTANCES):
+            rumor = Rumor(tuple(leaving[start : start + MAX_RUMOR_INSTANCES]))
             for address in self.view.sample(FANOUT):
                 self._send(address, rumor)
--- a/pebbledrift/overlay/messages.py
+++ b/pebbledrift/overlay/messages.py
@@ -1,4 +1,4 @@
-"""What keepers and routers tell each other over connections, and keepers each other about workers."""
+"""Messages on connections between keepers and routers, and between keepers about worker instances."""
 
 from __future__ import annotations
 
@@ -12,95 +12,96 @@
 
 @message(100)
 class KeeperState:
-    """A keeper's standing, told to the routers now and then and when it changes."""
+    """A keeper's status, sent to the routers periodically and whenever it changes."""
 
     epoch: int
-    lenders: tuple[str, ...]  # addresses of the head of the chain, which lends, and of who would follow it
-    current: bool  # what it holds is as new as any configuration in force
+    lenders: tuple[str, ...]  # addresses of the chain's head, which lends tokens, and of its successor
+    current: bool  # its configuration is at least as recent as any configuration in force
     committed: tuple[int, int]
-    complete: bool  # it has heard of all workers that report anywhere
-    keepers: tuple[tuple[str, str], ...]  # address and zone of each that lives
-    routers: int  # routers that it hears
-    running: tuple[tuple[str, float], ...]  # by service: requests with short prompts that run at all routers
+    complete: bool  # it knows every worker that reports to any keeper
+    keepers: tuple[tuple[str, str], ...]  # address and zone of each live keeper
+    router_count: int  # routers connected to this keeper
+    running: tuple[tuple[str, float], ...]  # by service: short-prompt requests running at all routers
 
     @property
     def head(self) -> str:
-        """Address of the head of the chain; empty where there is none."""
+        """Address of the head of the chain, or an empty string if there is none."""
         return self.lenders[0] if self.lenders else ""
 
 
 @message(101)
-class InstanceNews:
-    """Instances that are new or have changed."""
+class InstanceUpdate:
+    """Worker instances that are new or have changed."""
 
     instances: tuple[Instance, ...]
 
 
 @message(102)
-class InstanceBeats:
-    """Instances that were heard again without news, and routers that are connected, told between keepers."""
+class InstanceHeartbeats:
+    """Heartbeats received since the last such message, and the router count; sent between keepers."""
 
-    heard: tuple[tuple[str, int], ...]
-    routers: int
+    sequences: tuple[tuple[str, int], ...]  # instance and sequence number of its latest heartbeat
+    router_count: int  # routers connected to the sending keeper
 
 
 @message(103)
 class InstanceSnapshot:
-    """All instances that a keeper knows; `complete` as in KeeperState."""
+    """All worker instances known to the sender; `complete` is defined as in KeeperState."""
 
     instances: tuple[Instance, ...]
     complete: bool
 
 
 @message(104)
-class NewsReceived:
-    """Confirms that a NumberedNews is on the sender's disk."""
+class UpdateReceived:
+    """Confirms that a NumberedUpdate is stored on the disk of the keeper that sends this."""
 
     number: int
-    asker: int  # incarnation of the keeper that told it: its next process counts anew
+    incarnation: int  # of the keeper that sent the update: its next process numbers from 1 again
 
 
 @message(105)
-class NumberedNews:
-    """News that the teller waits for to be confirmed."""
+class NumberedUpdate:
+    """Instance changes for which the sending keeper awaits an UpdateReceived."""
 
     number: int
-    asker: int  # incarnation of the teller
+    incarnation: int  # incarnation of the sending keeper
     instances: tuple[Instance, ...]
 
 
 @message(106)
 class RouterReport:
-    """What a router tells the keepers twice a second."""
+    """Load report that a router sends to the keepers twice a second."""
 
-    revision: int  # of the configuration in force there, 0 before the first
-    running: tuple[tuple[str, float], ...]  # by service: requests with short prompts that run, averaged
+    revision: int  # of the configuration in force at the router; 0 before the first one
+    running: tuple[tuple[str, float], ...]  # by service: average number of running short-prompt requests
 
 
 @message(107)
 class StateNotice:
-    """The standing of the keeper `origin`, passed on by relays `age_s` after it was told.
+    """The state of the keeper `origin`, forwarded by relays, `age_s` seconds after the keeper sent it.
 
-    `number` rises with each word of one life of the keeper: what goes round between relays is known by it.
+    `number` rises with each notice of one incarnation of the keeper, so that a relay recognizes a notice
+    that returns to it through a loop of relays.
     """
 
     state: KeeperState
     origin: str
-    life: int
+    incarnation: int
     number: int
     age_s: float
 
 
 @message(113)
-class StandingRequest:
-    """A router that starts asks a keeper whether what it holds is as new as any in force now."""
+class StatusRequest:
+    """A starting router asks a keeper whether its configuration is at least as recent as any in force."""
 
     number: int
 
 
 @message(114)
-class Standing:
-    """Answers StandingRequest."""
+class StatusReply:
+    """Answers the StatusRequest with the same number."""
 
     number: int
     current: bool
@@ -109,33 +110,33 @@
 
 @message(108)
 class Subscribe:
-    """A router asks to be told all that is new."""
+    """A router asks a keeper or relay to forward all updates to it."""
 
     zone: str
 
 
 @message(112)
 class Unsubscribe:
-    """A router that stays connected asks not to be told any more."""
+    """A router that stays connected asks for no further updates."""
 
 
 @message(109)
 class Redirect:
-    """Whoever was asked has enough children: others that may have room, each with its zone."""
+    """Refuses a Subscribe and names relays that may accept it, as pairs of address and zone."""
 
     relays: tuple[tuple[str, str], ...]
 
 
 @message(110)
 class ConfigFetch:
-    """A router asks for all that was committed after what it has."""
+    """A router asks for everything committed after the stamp of its own configuration."""
 
     committed: tuple[int, int]
 
 
 @message(111)
 class ConfigUpdate:
-    """Committed configuration: entries behind `after`, or a snapshot and entries behind that."""
+    """Committed configuration: the entries after `after`, preceded by a snapshot if they are not enough."""
 
     after: tuple[int, int]
     snapshot: Snapshot | None
@@ -144,7 +145,7 @@
 
 @message(120)
 class TokenRequest:
-    """A router asks for tokens of a tenant: `need` at least, `want` if there are as many."""
+    """A router asks for tokens of a tenant: at least `need`, and up to `want` if available."""
 
     number: int
     tenant: str
@@ -155,7 +156,7 @@
 
 @message(121)
 class TokenGrant:
-    """What was lent, by whom, and when there may be enough where it was not."""
+    """Tokens granted in the view `epoch`, and after how long to retry if the grant was too small."""
 
     number: int
     epoch: int
@@ -166,7 +167,7 @@
 
 @message(122)
 class TokenReport:
-    """What a router that has run for `age_s` has taken of each quota, by half seconds, the newest first."""
+    """Tokens taken of each quota, in slots of half a second, newest first; the router has run for `age_s`."""
 
     epoch: int
     age_s: float
--- a/pebbledrift/overlay/node.py
+++ b/pebbledrift/overlay/node.py
@@ -1,4 +1,4 @@
-"""A router's place in the relay tree: whom it is told by, whom it tells, and what it holds. No I/O."""
+"""A router's position in the relay tree: its uplinks, its children, and the state it holds. No I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from pebbledrift.chain.messages import Stamp
 from pebbledrift.control.registry import Instance
-from pebbledrift.overlay.follower import ControlFollower, HeardState, updates_after
+from pebbledrift.overlay.follower import ControlFollower, ReceivedState, updates_after
 from pebbledrift.overlay.messages import (
     ConfigFetch,
     ConfigUpdate,
-    InstanceNews,
     InstanceSnapshot,
+    InstanceUpdate,
     Redirect,
     RouterReport,
-    Standing,
     StateNotice,
+    StatusReply,
     Subscribe,
     TokenGrant,
     TokenReport,
@@ -27,56 +27,56 @@
 from pebbledrift.overlay.uplinks import UplinkPlan
 from spoolpier.records import record
 
-STATE_S = 0.5  # between words to the children
-CONNECT_WAIT_S = 0.7  # a node that cannot be reached for so long is done without
-UPLINK_FRESH_S = 1.5  # an uplink whose newest word of a keeper is older is done without
-RELAY_FRESH_S = 1.0  # with an older word no child is taken
-GOOD_LEAST = 2  # uplinks that tell something new: with fewer all keepers are asked
-LENDERS = 2  # the keeper that lends, and the one that would follow it, are connected to
-KEEPERS_MOST = 9
-HINTS_MOST = 16  # relays that full nodes named
+STATE_INTERVAL_S = 0.5  # between state notices to the children
+CONNECT_TIMEOUT_S = 0.7  # a node that is unreachable for longer counts as failed
+MAX_UPLINK_STATE_AGE_S = 1.5  # an uplink whose newest keeper state is older counts as failed
+MAX_RELAYED_STATE_AGE_S = 1.0  # while the newest keeper state is older, no child is accepted
+MIN_GOOD_UPLINKS = 2  # uplinks with recent state; with fewer the router subscribes to all keepers
+CONNECTED_LENDERS = 2  # the router connects to the keeper that lends tokens and to its successor
+MAX_KEEPERS = 9  # keepers connected to while not synchronized, or with too few good uplinks
+MAX_HINTS = 16  # remembered relays that were named in redirects
 
 
 @record
 class RelaySettings:
-    """What a router is told about itself."""
+    """A router's own settings."""
 
     name: str
-    address: str  # at which other routers reach it
+    address: str  # where other routers reach it
     zone: str
-    contacts: tuple[str, ...]  # keepers to begin with
-    children: int
+    contacts: tuple[str, ...]  # addresses of the initial keepers
+    max_children: int
 
 
 class RelayOwner(Protocol):
-    """The router."""
+    """The router that a RelayNode belongs to."""
 
     def configured(self, config: dict[str, Any]) -> None:
         """Another configuration is in force."""
 
     def instances_changed(self) -> None:
-        """Workers are new or have changed."""
+        """Worker instances are new or have changed."""
 
     def granted(self, grant: TokenGrant) -> None:
-        """The keeper that lends has answered."""
+        """The keeper that lends tokens has answered a request."""
 
     def report(self, epoch: int) -> TokenReport:
-        """What was taken of the quotas lately."""
+        """Return the tokens recently taken of each quota, for a lender of this epoch."""
 
 
 @dataclass(slots=True)
 class _Uplink:
-    """One connection that we made, or try to make."""
+    """An outgoing connection, established or being attempted."""
 
     wanted_since: float
     open: bool = False
     subscribed: bool = False
-    told_at: float = 0.0  # when a keeper said what this one told us last
-    current: bool = False  # and whether that keeper heard a majority
+    reported_at: float = 0.0  # when a keeper reported the newest state received on this connection
+    current: bool = False  # whether the keeper of the last received state was in contact with a majority
 
 
 class RelayNode:
-    """Follows its uplinks and tells its children."""
+    """Follows its uplinks and forwards updates to its children."""
 
     def __init__(
         self, settings: RelaySettings, owner: RelayOwner, send: Callable[[str, Any], None], now: float
@@ -84,50 +84,50 @@
         self.settings = settings
         self._owner, self._send = owner, send
         self.follower = ControlFollower(self, send)
-        self.publisher = Publisher(settings.children, self._welcome)
+        self.publisher = Publisher(settings.max_children, self._welcome)
         self._plan = UplinkPlan(settings.name, settings.zone)
         self._uplinks: dict[str, _Uplink] = {}
         self._chosen: list[str] = []
-        self._hints: dict[str, str] = {}  # zone by address
-        self._reported = 0  # the newest epoch whose lender was told what we took of the quotas
+        self._hints: dict[str, str] = {}  # relays named in redirects: zone by address
+        self._reported_epoch = 0  # the newest epoch whose lender was sent a TokenReport
         self._next_notice = now
         self._last_notice: StateNotice | None = None
-        self.peers: Callable[[], dict[str, str]] = dict  # relays of the partial view: zone by address
-        self.spread: Callable[[tuple[Instance, ...]], None] = lambda news: None
+        self.peers: Callable[[], dict[str, str]] = dict  # routers in the partial view: zone by address
+        self.spread: Callable[[tuple[Instance, ...]], None] = lambda instances: None
         self._now = now
 
-    # what follows for the router
+    # state for the router
 
     @property
-    def settled(self) -> bool:
-        """Whether configuration and workers are known as any keeper knows them."""
+    def synchronized(self) -> bool:
+        """Whether the configuration was confirmed to be current and all workers are known."""
         follower = self.follower
         return follower.config_current and follower.workers_known and follower.log.state.config is not None
 
     def configured(self, config: dict[str, Any]) -> None:
-        """Another configuration is in force."""
+        """Inform the router that another configuration is in force."""
         self._owner.configured(config)
 
-    def instances_changed(self, news: tuple[Instance, ...]) -> None:
-        """Workers are new or have changed: all others have to hear of it."""
-        self.publisher.publish(InstanceNews(news))
-        self.spread(news)
+    def instances_changed(self, instances: tuple[Instance, ...]) -> None:
+        """Forward new or changed instances to the children and by gossip, and inform the router."""
+        self.publisher.publish(InstanceUpdate(instances))
+        self.spread(instances)
         self._owner.instances_changed()
 
     @property
     def uplink_count(self) -> int:
-        """How many nodes tell us."""
+        """The number of nodes that this router is subscribed to."""
         return sum(uplink.subscribed for uplink in self._uplinks.values())
 
     def lender(self) -> str | None:
-        """The keeper that lends, if we are connected to it."""
+        """Return the address of the keeper that lends tokens, or None if it is not connected."""
         lenders = self.follower.lenders(self._now)
         return lenders[0] if lenders and self._is_open(lenders[0]) else None
 
     def report_load(self, running: dict[str, float]) -> None:
-        """Tell the keepers that may act for all what runs here."""
+        """Send this router's running requests by service to the head of the chain and its successor."""
         report = RouterReport(self.follower.log.state.revision, tuple(running.items()))
-        for address in self.follower.lenders(self._now)[:LENDERS]:
+        for address in self.follower.lenders(self._now)[:CONNECTED_LENDERS]:
             if self._is_open(address):
                 self._send(address, report)
 
@@ -135,59 +135,59 @@
         uplink = self._uplinks.get(address)
         return uplink is not None and uplink.open
 
-    # connections that we make
+    # outgoing connections
 
     def tick(self, now: float) -> set[str]:
-        """Follow the time; returns the addresses to be connected to."""
+        """Update uplinks and subscriptions; returns the addresses that should be connected."""
         self._now = now
-        self._drop_stale(now)
-        wanted = self._wanted(now)
+        self._note_stale_uplinks(now)
+        wanted = self._wanted_addresses(now)
         for address in [address for address in self._uplinks if address not in wanted]:
             del self._uplinks[address]
         for address in wanted:
             self._uplinks.setdefault(address, _Uplink(now))
         self._subscribe_chosen(now)
         if now >= self._next_notice:
-            self._tell_children(now, at_once=True)
+            self._notify_children(now, force=True)
         return wanted
 
-    def _drop_stale(self, now: float) -> None:
-        """Note which uplinks cannot be reached or tell nothing."""
+    def _note_stale_uplinks(self, now: float) -> None:
+        """Record uplinks that cannot be reached or that send no recent state as failed."""
         for address, uplink in self._uplinks.items():
             waited = now - uplink.wanted_since
-            if not uplink.open and waited > CONNECT_WAIT_S:
-                self._plan.failed(address, now)
+            if not uplink.open and waited > CONNECT_TIMEOUT_S:
+                self._plan.note_failure(address, now)
                 uplink.wanted_since = now
-            elif uplink.subscribed and min(waited, now - uplink.told_at) > UPLINK_FRESH_S:
-                self._plan.failed(address, now)
+            elif uplink.subscribed and min(waited, now - uplink.reported_at) > MAX_UPLINK_STATE_AGE_S:
+                self._plan.note_failure(address, now)
 
-    def _wanted(self, now: float) -> set[str]:
+    def _wanted_addresses(self, now: float) -> set[str]:
         keepers = self.follower.keepers(now)
         relays = {**self._hints, **self.peers()}
         for address in (*self.publisher.addresses, self.settings.address, *keepers):
             relays.pop(address, None)
         connected = {address for address, uplink in self._uplinks.items() if uplink.subscribed}
         self._chosen = self._plan.choose(keepers, relays, connected, now)
-        wanted = {*self._chosen, *self.follower.lenders(now)[:LENDERS]}
-        if not (self.settled and self._well_told(now)):
-            wanted |= {*list(keepers)[:KEEPERS_MOST], *self.settings.contacts}
+        wanted = {*self._chosen, *self.follower.lenders(now)[:CONNECTED_LENDERS]}
+        if not (self.synchronized and self._has_enough_uplinks(now)):
+            wanted |= {*list(keepers)[:MAX_KEEPERS], *self.settings.contacts}
             wanted |= {address for address, uplink in self._uplinks.items() if uplink.subscribed}
         return wanted
 
-    def _well_told(self, now: float) -> bool:
-        """Whether enough of the chosen uplinks tell something new, and one of them hears a majority."""
+    def _has_enough_uplinks(self, now: float) -> bool:
+        """Return whether enough chosen uplinks sent recent state, one of them that of a current keeper."""
         good = [
             uplink
             for address in self._chosen
             if (uplink := self._uplinks.get(address)) is not None
             and uplink.subscribed
-            and now - uplink.told_at <= UPLINK_FRESH_S
+            and now - uplink.reported_at <= MAX_UPLINK_STATE_AGE_S
         ]
-        return len(good) >= GOOD_LEAST and any(uplink.current for uplink in good)
+        return len(good) >= MIN_GOOD_UPLINKS and any(uplink.current for uplink in good)
 
     def _subscribe_chosen(self, now: float) -> None:
-        """Subscribe to the chosen, and to all where those do not suffice; end what is not needed any more."""
-        enough = self.settled and self._well_told(now)
+        """Subscribe to the chosen uplinks, or to all if those do not suffice, and end other subscriptions."""
+        enough = self.synchronized and self._has_enough_uplinks(now)
         for address, uplink in self._uplinks.items():
             needed = address in self._chosen or not enough
             if uplink.open and needed and not uplink.subscribed and self._plan.usable(address, now):
@@ -198,120 +198,124 @@
                 self._send(address, Unsubscribe())
 
     def outgoing_opened(self, address: str, now: float) -> None:
-        """A connection that we made is up."""
+        """Handle an outgoing connection that was established."""
         self._now = now
         uplink = self._uplinks.setdefault(address, _Uplink(now))
         uplink.open, uplink.subscribed, uplink.wanted_since = True, False, now
-        self.follower.fetch(address, now)
+        self.follower.fetch_config(address, now)
         self._subscribe_chosen(now)
         self._report_quotas(now)
 
     def outgoing_closed(self, address: str, now: float) -> None:
-        """A connection that we made has ended."""
+        """Handle an outgoing connection that has ended."""
         self._now = now
         uplink = self._uplinks.get(address)
         if uplink is not None:
             uplink.open = uplink.subscribed = False
             uplink.wanted_since = now
-            self._plan.failed(address, now)
+            self._plan.note_failure(address, now)
 
     def outgoing_received(self, address: str, message: Any, now: float) -> None:
-        """A node that we are connected to tells something."""
+        """Handle a message received on an outgoing connection."""
         self._now = now
         if isinstance(message, StateNotice):
-            self._take_notice(address, message, now)
+            self._handle_notice(address, message, now)
         elif isinstance(message, ConfigUpdate):
-            self.follower.take_config(address, message, now)
-            self._tell_children(now)
-        elif isinstance(message, Standing):
-            self.follower.take_standing(address, message, now)
-        elif isinstance(message, InstanceNews):
+            self.follower.handle_config(address, message, now)
+            self._notify_children(now)
+        elif isinstance(message, StatusReply):
+            self.follower.handle_status_reply(address, message, now)
+        elif isinstance(message, InstanceUpdate):
             self.follower.merge(message.instances, now)
         elif isinstance(message, InstanceSnapshot):
-            self.follower.take_snapshot(message, now)
+            self.follower.handle_snapshot(message, now)
         elif isinstance(message, TokenGrant):
             self._owner.granted(message)
         elif isinstance(message, Redirect):
-            self._redirected(address, message, now)
+            self._handle_redirect(address, message, now)
 
-    def _take_notice(self, address: str, notice: StateNotice, now: float) -> None:
+    def _handle_notice(self, address: str, notice: StateNotice, now: float) -> None:
         uplink = self._uplinks.get(address)
         if uplink is not None:
-            uplink.told_at = max(uplink.told_at, now - notice.age_s)
+            uplink.reported_at = max(uplink.reported_at, now - notice.age_s)
             uplink.current = notice.state.current
-        if self.follower.take_state(address, notice, now):
+        if self.follower.handle_state(address, notice, now):
             self._report_quotas(now)
-            self._tell_children(now)
+            self._notify_children(now)
 
-    def _redirected(self, address: str, redirect: Redirect, now: float) -> None:
-        self._plan.refused(address, now)
+    def _handle_redirect(self, address: str, redirect: Redirect, now: float) -> None:
+        self._plan.note_refusal(address, now)
         uplink = self._uplinks.get(address)
         if uplink is not None:
             uplink.subscribed = False
         self._hints.update(redirect.relays)
-        while len(self._hints) > HINTS_MOST:
+        while len(self._hints) > MAX_HINTS:
             del self._hints[next(iter(self._hints))]
 
     def _report_quotas(self, now: float) -> None:
-        """Tell a keeper that begins to lend what we took."""
+        """Send the recently taken tokens to a keeper that has begun to lend."""
         lender, epoch = self.lender(), self.follower.epoch(now)
-        if lender is not None and epoch > self._reported:
-            self._reported = epoch
+        if lender is not None and epoch > self._reported_epoch:
+            self._reported_epoch = epoch
             self._send(lender, self._owner.report(epoch))
 
-    # connections that others make to us
+    # incoming connections
 
     def incoming_received(self, link: Link, address: str, message: Any, now: float) -> None:
-        """A router that is connected to us asks something."""
+        """Handle a message from a router that has connected to this one."""
         self._now = now
         if isinstance(message, Subscribe):
-            self._take_child(link, address, message, now)
+            self._accept_child(link, address, message, now)
         elif isinstance(message, Unsubscribe):
             self.publisher.drop(link)
         elif isinstance(message, ConfigFetch):
             link.send(updates_after(self.follower.log, Stamp(*message.committed)))
 
     def incoming_closed(self, link: Link) -> None:
-        """A connection that was made to us has ended."""
+        """Handle an incoming connection that has ended."""
         self.publisher.drop(link)
 
-    def _take_child(self, link: Link, address: str, message: Subscribe, now: float) -> None:
+    def _accept_child(self, link: Link, address: str, message: Subscribe, now: float) -> None:
         relays = [(peer, zone) for peer, zone in self.peers().items() if peer != address]
-        newest = self._passed_on(now)
-        told_lately = newest is not None and now - newest.told_at <= RELAY_FRESH_S
-        if not self.settled or not told_lately or self._is_open(address):
+        relayable = self._relayable_state(now)
+        state_is_recent = relayable is not None and now - relayable.reported_at <= MAX_RELAYED_STATE_AGE_S
+        if not self.synchronized or not state_is_recent or self._is_open(address):
             self.publisher.refuse(link, relays)
         else:
             self.publisher.subscribe(link, address, message.zone, relays)
 
     def _welcome(self, link: Link) -> None:
-        """Tell a new child all. Only keepers say that all workers are known: what we know may be old."""
-        newest = self._passed_on(self._now)
-        if newest is not None:
-            link.send(newest.notice(self._now))
+        """Send the full state to a new child.
+
+        The snapshot is marked as incomplete: only keepers may report that all workers are known, since this
+        router's state may be old.
+        """
+        relayable = self._relayable_state(self._now)
+        if relayable is not None:
+            link.send(relayable.notice(self._now))
         link.send(InstanceSnapshot(tuple(self.follower.registry.snapshot()), False))
 
-    def _passed_on(self, now: float) -> HeardState | None:
-        """The word that children are told: one whose configuration they can have from us."""
-        newest = self.follower.newest(now)
-        if newest is None or Stamp(*newest.state.committed) > self.follower.log.committed:
+    def _relayable_state(self, now: float) -> ReceivedState | None:
+        """Return the keeper state to forward to children, or None if this router lacks its configuration."""
+        preferred = self.follower.preferred_state(now)
+        if preferred is None or Stamp(*preferred.state.committed) > self.follower.log.committed:
             return None
-        return newest
+        return preferred
 
-    def _tell_children(self, now: float, at_once: bool = False) -> None:
-        """Pass the newest word on when it says something new, and now and then."""
-        newest = self._passed_on(now)
-        if newest is None or not len(self.publisher):
+    def _notify_children(self, now: float, force: bool = False) -> None:
+        """Forward the preferred keeper state if it has changed or if `force` is set."""
+        relayable = self._relayable_state(now)
+        if relayable is None or not len(self.publisher):
             return
-        notice, last = newest.notice(now), self._last_notice
-        if not at_once and last is not None and _same(notice.state, last.state):
+        notice, last = relayable.notice(now), self._last_notice
+        if not force and last is not None and _equivalent(notice.state, last.state):
             return
-        self._last_notice, self._next_notice = notice, now + STATE_S
+        self._last_notice, self._next_notice = notice, now + STATE_INTERVAL_S
         self.publisher.publish(notice)
 
 
-def _same(one: Any, other: Any) -> bool:
-    """Whether two words of keepers mean the same to whoever hears them."""
+def _equivalent(one: Any, other: Any) -> bool:
+    """Return whether two keeper states are equal apart from completeness, router count and load."""
     return bool(
         (one.epoch, one.lenders, one.current, one.committed, one.keepers)
         == (other.epoch, other.lenders, other.current, other.committed, other.keepers)
--- a/pebbledrift/overlay/publisher.py
+++ b/pebbledrift/overlay/publisher.py
@@ -1,4 +1,4 @@
-"""The children of a node: routers that subscribed to it, as many as its link can serve."""
+"""The children of a node: routers that subscribed to it, limited by the bandwidth of its link."""
 
 from __future__ import annotations
 
@@ -8,32 +8,34 @@
 from pebbledrift.cluster.codec import frame
 from pebbledrift.overlay.messages import Redirect
 
-MBPS_FOR_CHILD = 2.5  # a configuration of 350 routes more takes a child of a full node half a second
-CHILDREN_LEAST, CHILDREN_MOST = 2, 64
-REDIRECTS = 4  # nodes named to one that is refused
+# At this share of the link, a configuration that grew by 350 routes reaches each child of a full node in
+# half a second.
+MBPS_PER_CHILD = 2.5
+MIN_CHILDREN, MAX_CHILDREN = 2, 64
+MAX_REDIRECTS = 4  # nodes named to a router that is refused
 
 
 class Link(Protocol):
-    """A connection that a router has made to us."""
+    """A connection that a router has opened to this node."""
 
     def send(self, value: Any) -> None:
         """Send a message."""
 
     def send_frame(self, data: bytes) -> None:
-        """Send a message that is encoded already."""
+        """Send an already encoded message."""
 
 
 def children_for(link_mbps: float) -> int:
-    """How many children a node with such a link may have."""
-    return max(CHILDREN_LEAST, min(CHILDREN_MOST, int(link_mbps / MBPS_FOR_CHILD)))
+    """Return how many children a node may have whose link carries `link_mbps` Mbit/s."""
+    return max(MIN_CHILDREN, min(MAX_CHILDREN, int(link_mbps / MBPS_PER_CHILD)))
 
 
 class Publisher:
-    """Tells its children all that is new; each message is encoded once."""
+    """Sends updates to all children; each message is encoded once."""
 
-    def __init__(self, most: int, welcome: Callable[[Link], None]) -> None:
-        self._most, self._welcome = most, welcome
-        self._children: dict[Link, tuple[str, str]] = {}  # address and zone of each
+    def __init__(self, max_children: int, welcome: Callable[[Link], None]) -> None:
+        self._max_children, self._welcome = max_children, welcome
+        self._children: dict[Link, tuple[str, str]] = {}  # address and zone of each child
 
     def __len__(self) -> int:
         return len(self._children)
@@ -44,25 +46,28 @@
         return {address for address, _ in self._children.values()}
 
     def subscribe(self, link: Link, address: str, zone: str, relays: Iterable[tuple[str, str]] = ()) -> bool:
-        """Take a child and tell it all that is known; a full node names its children, and other relays."""
-        if link not in self._children and len(self._children) >= self._most:
+        """Accept a child and send it the full state, or redirect it if the node is full.
+
+        A redirect names some of the node's own children and of `relays`. Returns whether it was accepted.
+        """
+        if link not in self._children and len(self._children) >= self._max_children:
             others = dict.fromkeys([*self._children.values(), *relays])
-            link.send(Redirect(tuple(others)[-REDIRECTS:]))
+            link.send(Redirect(tuple(others)[-MAX_REDIRECTS:]))
             return False
         self._children[link] = address, zone
         self._welcome(link)
         return True
 
     def refuse(self, link: Link, relays: Iterable[tuple[str, str]]) -> None:
-        """Take no child, whatever room there is."""
-        link.send(Redirect(tuple(relays)[:REDIRECTS]))
+        """Redirect a router to other relays, even if there is room for it."""
+        link.send(Redirect(tuple(relays)[:MAX_REDIRECTS]))
 
     def drop(self, link: Link) -> None:
-        """A connection has ended."""
+        """Remove a child that unsubscribed or whose connection has ended."""
         self._children.pop(link, None)
 
     def publish(self, value: Any) -> None:
-        """Tell all children."""
+        """Send a message to all children."""
         if self._children:
             data = frame(value)
             for link in list(self._children):
--- a/pebbledrift/overlay/root.py
+++ b/pebbledrift/overlay/root.py
@@ -1,4 +1,4 @@
-"""A keeper's end of the relay tree: routers that are connected, and those of them that subscribed. No I/O."""
+"""The keeper's side of the relay tree: answers connected routers and publishes to subscribed ones. No I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from pebbledrift.overlay.follower import updates_after
 from pebbledrift.overlay.messages import (
     ConfigFetch,
-    InstanceNews,
     InstanceSnapshot,
+    InstanceUpdate,
     KeeperState,
-    Standing,
-    StandingRequest,
     StateNotice,
+    StatusReply,
+    StatusRequest,
     Subscribe,
     Unsubscribe,
 )
@@ -26,38 +26,38 @@
 
 
 class RelayRoot:
-    """Tells routers where this keeper stands, and its children all that is new."""
+    """Reports this keeper's state to routers and publishes instance changes to its children."""
 
     def __init__(
         self,
         address: str,
-        life: int,
+        incarnation: int,
         log: ReplicatedLog,
-        children: int,
+        max_children: int,
         snapshot: Callable[[], InstanceSnapshot],
         current: Callable[[], bool],
     ) -> None:
-        self._address, self._life, self._log = address, life, log
+        self._address, self._incarnation, self._log = address, incarnation, log
         self._number = 0
         self._snapshot, self._current = snapshot, current
-        self.publisher = Publisher(children, self._welcome)
-        self.relays: Relays = list  # routers that may have room for children, each with its zone
-        self.spread: Callable[[tuple[Instance, ...]], None] = lambda news: None
+        self.publisher = Publisher(max_children, self._welcome)
+        self.relays: Relays = list  # routers that may have room for children, as pairs of address and zone
+        self.spread: Callable[[tuple[Instance, ...]], None] = lambda instances: None
 
     def _welcome(self, child: Link) -> None:
         child.send(self._snapshot())
 
     def notice(self, state: KeeperState) -> StateNotice:
-        """Where this keeper stands, in its own words."""
+        """Return this keeper's state as its next numbered notice."""
         self._number += 1
-        return StateNotice(state, self._address, self._life, self._number, 0.0)
+        return StateNotice(state, self._address, self._incarnation, self._number, 0.0)
 
     def received(self, link: Link, address: str, message: Any) -> bool:
-        """Answer a router; returns whether the message was for the relay tree."""
+        """Handle a message from a router; returns whether it belongs to the relay tree."""
         if isinstance(message, ConfigFetch):
             link.send(updates_after(self._log, Stamp(*message.committed)))
-        elif isinstance(message, StandingRequest):
-            link.send(Standing(message.number, self._current(), self._log.committed))
+        elif isinstance(message, StatusRequest):
+            link.send(StatusReply(message.number, self._current(), self._log.committed))
         elif isinstance(message, Subscribe):
             self.publisher.subscribe(link, address, message.zone, self.relays())
         elif isinstance(message, Unsubscribe):
@@ -66,7 +66,7 @@
             return False
         return True
 
-    def publish_news(self, news: tuple[Instance, ...]) -> None:
-        """Tell of workers that are new or have changed, and by gossip of those that leave."""
-        self.publisher.publish(InstanceNews(news))
-        self.spread(news)
+    def publish_instances(self, instances: tuple[Instance, ...]) -> None:
+        """Publish new or changed instances to the children, and gossip about those that are leaving."""
+        self.publisher.publish(InstanceUpdate(instances))
+        self.spread(instances)
--- a/pebbledrift/router/service.py
+++ b/pebbledrift/router/service.py
@@ -149,7 +149,7 @@
         return self._was_started
 
     def _has_all(self) -> bool:
-        return self.table is not None and self.control.node.settled
+        return self.table is not None and self.control.node.synchronized
 
     # what the keepers tell
 
@@ -200,7 +200,7 @@
 
     def routers(self) -> int:
         """How many routers there are."""
-        return self.follower.routers()
+        return self.follower.router_count()
 
     def revision(self) -> int:
         """The version of the configuration in force."""
--- a/tests/cluster/mutations.py
+++ b/tests/cluster/mutations.py
@@ -374,10 +374,10 @@
     Mutation(
         "a router that starts asks whether its keeper is current",
         "pebbledrift/overlay/follower.py",
-        "if asked_at is None or now - asked_at > STANDING_S or not standing.current:",
-        "if not standing.current:",
+        "if requested_at is None or now - requested_at > MAX_STATUS_REPLY_DELAY_S or not reply.current:",
+        "if not reply.current:",
         "tests/cluster/test_follower.py",
-        "standing",
+        "status",
     ),
 )
 
--- a/tests/cluster/relay_replicas.py
+++ b/tests/cluster/relay_replicas.py
@@ -1,4 +1,4 @@
-"""Keepers of the relay tree's model with the real replica in them: routers are told by a real chain."""
+"""Keepers of the simulated relay tree that hold a real replica, so that a real chain feeds the routers."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from tests.cluster.relay_simulation import DELAY_S, Fabric, Keeper
 from tests.cluster.simulation import change, check
 
-SYNC_S = 0.002
-CALL_S = 3.8
+DISK_SYNC_S = 0.002
+CALL_TIMEOUT_S = 3.8
 
 
 class ReplicaKeeper(Keeper):
-    """A keeper that commits by its replica. Its disk is fast and lasts."""
+    """A keeper that commits through its replica. Its disk is fast and never loses data."""
 
     def _make_log(self) -> ReplicatedLog:
-        address, life = self.process.address, self.fabric.next_life()
+        address, incarnation = self.process.address, self.fabric.next_life()
         settings = ReplicaSettings(
             address,
             address,
             self.process.zone,
             node_name(address, FOUNDER),
-            life,
+            incarnation,
             True,
             1,
             tuple(self.fabric.seeds),
-            life,
+            incarnation,
         )
         stored = Stored(view=founding_view(self.fabric.seeds))
         self.replica = Replica(settings, check, stored, self.fabric.now)
@@ -60,12 +60,12 @@
         self._tell_state()
 
     def catch_up(self) -> None:
-        """The chain tells what is committed."""
+        """Nothing to do: the chain delivers the committed entries."""
 
     def _flush(self) -> None:
         outbox = self.replica.outbox
         for write in outbox.take_writes():
-            self.fabric.at(self.fabric.now + SYNC_S, lambda number=write.number: self._synced(number))  # type: ignore[misc]
+            self.fabric.at(self.fabric.now + DISK_SYNC_S, lambda number=write.number: self._synced(number))  # type: ignore[misc]
         for envelope in outbox.take_envelopes():
             delay = 0.0 if envelope.address == self.process.address else DELAY_S
             self.fabric.at(
@@ -79,35 +79,35 @@
             self._flush()
 
     def _arrive(self, receiver: str, message: Any) -> None:
-        """What comes while a process stands still is read when it goes on."""
+        """Deliver a message unless the link is cut; a frozen process reads it when it resumes."""
         other = self.fabric.keepers.get(receiver)
         if not isinstance(other, ReplicaKeeper) or (self.process.address, receiver) in self.fabric.cut:
             return
-        self._take_in(other, message)
+        self._deliver(other, message)
 
-    def _take_in(self, other: ReplicaKeeper, message: Any) -> None:
+    def _deliver(self, other: ReplicaKeeper, message: Any) -> None:
         if self.fabric.now < other.process.frozen_until:
-            self.fabric.at(other.process.frozen_until, lambda: self._take_in(other, message))
+            self.fabric.at(other.process.frozen_until, lambda: self._deliver(other, message))
             return
         if self.fabric.keepers.get(other.process.address) is other:
             other.replica.receive(self.process.address, message, self.fabric.now)
             other._flush()
 
-    def order(self, revision: int, base: int) -> list[float]:
-        """Make a change; the list gets the moment at which it is acknowledged."""
+    def submit_change(self, revision: int, base: int) -> list[float]:
+        """Submit a change; the time of its acknowledgement is appended to the returned list."""
         acknowledged: list[float] = []
 
         def done(judgement: Judgement | None) -> None:
             if judgement is not None and judgement.verdict == Verdict.TAKEN:
                 acknowledged.append(self.fabric.now)
 
-        self.replica.call(change(revision, base), self.fabric.now, CALL_S, done)
+        self.replica.call(change(revision, base), self.fabric.now, CALL_TIMEOUT_S, done)
         self._flush()
         return acknowledged
 
 
-def fleet(keepers: int, routers: int, seed: int) -> Fabric:
-    """A fleet over real replicas, on its first configuration."""
+def start_fleet(keepers: int, routers: int, seed: int) -> Fabric:
+    """Return a running fleet with real replicas that has committed its first configuration."""
     fabric = Fabric(
         ["a", "b", "c"],
         keepers,
@@ -120,7 +120,7 @@
     fabric.run(2.0)
     keeper = fabric.keepers[fabric.seeds[0]]
     assert isinstance(keeper, ReplicaKeeper)
-    acknowledged = keeper.order(1, 0)
+    acknowledged = keeper.submit_change(1, 0)
     fabric.run(8.0)
-    assert acknowledged, "the first configuration is not taken"
+    assert acknowledged, "the first configuration was not accepted"
     return fabric
--- a/tests/cluster/relay_scenario.py
+++ b/tests/cluster/relay_scenario.py
@@ -103,7 +103,7 @@
         spared = set(self._addresses(excepted))
         checks: dict[str, Callable[[Router], bool]] = {
             "revision": lambda router: router.revision == int(value),
-            "settled": lambda router: router.node.settled,
+            "settled": lambda router: router.node.synchronized,
             "without": lambda router: value not in router.usable,
             "with": lambda router: value in router.usable,
         }
--- a/tests/cluster/relay_simulation.py
+++ b/tests/cluster/relay_simulation.py
@@ -137,7 +137,7 @@
         merged = [self.registry.merge(instance, self.fabric.now) for instance in instances]
         news = tuple(instance for instance in merged if instance is not None)
         if news:
-            self.root.publish_news(news)
+            self.root.publish_instances(news)
 
     def hear(self, instance: Instance) -> None:
         """A worker's own word: the other keepers that can be reached hear of it too."""
--- a/tests/cluster/test_fuzz.py
+++ b/tests/cluster/test_fuzz.py
@@ -31,7 +31,7 @@
 from pebbledrift.control.schema import check
 from pebbledrift.net.http import HttpError, Parser
 from pebbledrift.overlay.gossip import Gossip, Rumor
-from pebbledrift.overlay.sampling import VIEW_MOST, PeerDescriptor, Shuffle
+from pebbledrift.overlay.sampling import MAX_VIEW_ENTRIES, PeerDescriptor, Shuffle
 from pebbledrift.router.events import EventCutter, EventTooLong
 from pebbledrift.router.request import parse_parts, prompt
 from pebbledrift.router.routes import RoutingTable
@@ -206,7 +206,7 @@
     gossip = Gossip(own, [], 1, lambda address, message: None, heard.extend)
     gossip.received(Shuffle("10.0.0.2:1", tuple(told), True))
     gossip.tick(100.0)
-    assert len(gossip.view.peers) <= VIEW_MOST
+    assert len(gossip.view.peers) <= MAX_VIEW_ENTRIES
 
 
 @many
--- a/tests/cluster/test_workers.py
+++ b/tests/cluster/test_workers.py
@@ -13,7 +13,7 @@
 from pebbledrift.keeper import workers
 from pebbledrift.keeper.instance_store import InstanceStore
 from pebbledrift.keeper.workers import WorkerDesk
-from pebbledrift.overlay.messages import InstanceNews, InstanceSnapshot, NewsReceived, NumberedNews
+from pebbledrift.overlay.messages import InstanceSnapshot, InstanceUpdate, NumberedUpdate, UpdateReceived
 
 OWN, OTHER, THIRD = "a:1", "b:1", "c:1"
 WAIT_S = 10.0
@@ -55,8 +55,8 @@
 
 def confirming(own: Callable[[], WorkerDesk], address: str) -> Callable[[Any], None]:
     def receive(message: Any) -> None:
-        if isinstance(message, NumberedNews):
-            own().from_keeper(address, NewsReceived(message.number, message.asker))
+        if isinstance(message, NumberedUpdate):
+            own().from_keeper(address, UpdateReceived(message.number, message.incarnation))
 
     return receive
 
@@ -97,10 +97,10 @@
     async def scenario() -> None:
         network = Network()
         made = desk(network, tmp_path)
-        told: list[NumberedNews] = []
+        told: list[NumberedUpdate] = []
 
         def receive(message: Any) -> None:
-            if isinstance(message, NumberedNews):
+            if isinstance(message, NumberedUpdate):
                 told.append(message)
                 if len(told) == 3:  # the first two are lost
                     confirming(lambda: made, OTHER)(message)
@@ -137,7 +137,7 @@
         network = Network()
         made = desk(network, tmp_path)
         await made.heartbeat(instance())
-        made.from_keeper(OTHER, InstanceNews((instance("draining", 2),)))
+        made.from_keeper(OTHER, InstanceUpdate((instance("draining", 2),)))
         assert not await made.heartbeat(instance("draining", 3))
 
     play(scenario)
@@ -149,8 +149,8 @@
         made = desk(network, tmp_path, incarnation=2)
 
         def receive(message: Any) -> None:
-            if isinstance(message, NumberedNews):
-                made.from_keeper(OTHER, NewsReceived(message.number, 1))
+            if isinstance(message, NumberedUpdate):
+                made.from_keeper(OTHER, UpdateReceived(message.number, 1))
 
         network.reached[OTHER] = receive
         assert not await made.deregister("i-1")
@@ -162,11 +162,11 @@
     async def scenario() -> None:
         network = Network()
         made = desk(network, tmp_path)
-        news = NumberedNews(7, 9, (instance("draining", 2),))
+        news = NumberedUpdate(7, 9, (instance("draining", 2),))
         done = asyncio.Event()
 
         def receive(message: Any) -> None:
-            assert isinstance(message, NewsReceived) and (message.number, message.asker) == (7, 9)
+            assert isinstance(message, UpdateReceived) and (message.number, message.incarnation) == (7, 9)
             done.set()
 
         network.reached[OTHER] = receive
@@ -192,9 +192,9 @@
 
         assert made._store is not None
         monkeypatch.setattr(made._store._slots, "write", refuse)
-        made.from_keeper(OTHER, NumberedNews(7, 9, (instance("draining", 2),)))
+        made.from_keeper(OTHER, NumberedUpdate(7, 9, (instance("draining", 2),)))
         assert not await made.deregister("i-1")
-        assert not any(isinstance(message, NewsReceived) for message in network.sent)
+        assert not any(isinstance(message, UpdateReceived) for message in network.sent)
 
     play(scenario)
 
