--- a/pebbledrift/keeper/service.py
+++ b/pebbledrift/keeper/service.py
@@ -24,7 +24,7 @@
 from pebbledrift.keeper.workers import WorkerTracker
 from pebbledrift.overlay.messages import (
     ROLE_KEEPER,
-    InstanceBeats,
+    InstanceHeartbeats,
     InstanceSnapshot,
     KeeperState,
     RouterReport,
@@ -88,7 +88,7 @@
             self.network,
             boot.heartbeat_ms / 1000,
             store,
-            self.relays.publish_news,
+            self.relays.publish_instances,
             self.replica.is_quorum,
             self.incarnation,
         )
@@ -191,8 +191,8 @@
         if self.replica.receive(sender, message, now):
             self._drain_outbox()
             return
-        if isinstance(message, InstanceBeats):
-            self.lending.note_router_count(message.routers, now)
+        if isinstance(message, InstanceHeartbeats):
+            self.lending.note_router_count(message.router_count, now)
         self.workers.on_keeper_message(sender, message)
 
     def _on_keeper_connected(self, address: str) -> None:
--- a/pebbledrift/keeper/workers.py
+++ b/pebbledrift/keeper/workers.py
@@ -11,11 +11,11 @@
 from pebbledrift.keeper.instance_store import InstanceStore
 from pebbledrift.keeper.peers import KeeperNetwork
 from pebbledrift.overlay.messages import (
-    InstanceBeats,
-    InstanceNews,
+    InstanceHeartbeats,
     InstanceSnapshot,
-    NewsReceived,
-    NumberedNews,
+    InstanceUpdate,
+    NumberedUpdate,
+    UpdateReceived,
 )
 
 CONFIRM_TIMEOUT_S = 0.8  # time for a majority of the keepers to confirm that a worker leaves
@@ -113,7 +113,7 @@
         self._has_unsaved_changes = True
         self._publish((change,))
         if change.state == InstanceState.READY:
-            self._network.send_keepers(InstanceNews((change,)))
+            self._network.send_keepers(InstanceUpdate((change,)))
 
     async def _confirm(self, leaving: Instance) -> bool:
         """Returns whether a majority of the keepers has a leaving instance on disk within CONFIRM_TIMEOUT_S.
@@ -131,7 +131,7 @@
         try:
             async with asyncio.timeout(CONFIRM_TIMEOUT_S):
                 await self._resend_until_confirmed(
-                    NumberedNews(number, self._incarnation, (leaving,)), confirmation
+                    NumberedUpdate(number, self._incarnation, (leaving,)), confirmation
                 )
         except TimeoutError:
             return False
@@ -142,7 +142,7 @@
             del self._confirmed[next(iter(self._confirmed))]
         return True
 
-    async def _resend_until_confirmed(self, message: NumberedNews, confirmation: _Confirmation) -> None:
+    async def _resend_until_confirmed(self, message: NumberedUpdate, confirmation: _Confirmation) -> None:
         while not confirmation.done.done():
             self._network.send_keepers(message)
             await asyncio.wait((confirmation.done,), timeout=CONFIRM_RETRY_S)
@@ -173,25 +173,25 @@
 
     def on_keeper_message(self, sender: str, message: object) -> None:
         """Processes another keeper's message about workers; `sender` is its address."""
-        if isinstance(message, NumberedNews):
+        if isinstance(message, NumberedUpdate):
             self.merge(message.instances)
-            acknowledgement = NewsReceived(message.number, message.asker)
+            acknowledgement = UpdateReceived(message.number, message.incarnation)
             self._save_then(lambda: self._network.send(sender, acknowledgement))
-        elif isinstance(message, NewsReceived):
-            if message.asker == self._incarnation:
+        elif isinstance(message, UpdateReceived):
+            if message.incarnation == self._incarnation:
                 self._record_confirmation(message.number, sender)
-        elif isinstance(message, InstanceNews):
+        elif isinstance(message, InstanceUpdate):
             self.merge(message.instances)
         elif isinstance(message, InstanceSnapshot):
             self.merge(message.instances)
             self._complete = self._complete or message.complete
-        elif isinstance(message, InstanceBeats):
+        elif isinstance(message, InstanceHeartbeats):
             self._apply_remote_heartbeats(message)
 
-    def _apply_remote_heartbeats(self, message: InstanceBeats) -> None:
+    def _apply_remote_heartbeats(self, message: InstanceHeartbeats) -> None:
         """Marks instances as alive whose heartbeats another keeper received."""
         now = self._loop.time()
-        for instance, sequence in message.heard:
+        for instance, sequence in message.sequences:
             registered = self.registry.instances.get(instance)
             if registered is not None and sequence >= registered.sequence:
                 self.registry.last_heartbeat_at[instance] = now
@@ -218,7 +218,7 @@
             return
         self._next_report_at = now + HEARTBEAT_REPORT_INTERVAL_S
         self._network.send_keepers(
-            InstanceBeats(tuple(self._heartbeat_sequences.items()), self._network.router_count)
+            InstanceHeartbeats(tuple(self._heartbeat_sequences.items()), self._network.router_count)
         )
         self._heartbeat_sequences = {}
         if self._has_unsaved_changes and self._store is not None:
--- a/pebbledrift/router/service.py
+++ b/pebbledrift/router/service.py
@@ -153,7 +153,7 @@
         return self._startup_done
 
     def _has_initial_state(self) -> bool:
-        return self.routing_table is not None and self.control.node.settled
+        return self.routing_table is not None and self.control.node.synchronized
 
     # callbacks of the control links
 
@@ -204,7 +204,7 @@
 
     def routers(self) -> int:
         """The number of routers in the fleet."""
-        return self.follower.routers()
+        return self.follower.router_count()
 
     def revision(self) -> int:
         """The revision of the configuration in force, or 0 before the first one."""
--- a/tests/cluster/test_workers.py
+++ b/tests/cluster/test_workers.py
@@ -13,7 +13,7 @@
 from pebbledrift.keeper import workers
 from pebbledrift.keeper.instance_store import InstanceStore
 from pebbledrift.keeper.workers import WorkerTracker
-from pebbledrift.overlay.messages import InstanceNews, InstanceSnapshot, NewsReceived, NumberedNews
+from pebbledrift.overlay.messages import InstanceSnapshot, InstanceUpdate, NumberedUpdate, UpdateReceived
 
 OWN, OTHER, THIRD = "a:1", "b:1", "c:1"
 WAIT_S = 10.0
@@ -57,8 +57,8 @@
     """Returns the receiver of a keeper that confirms each numbered message."""
 
     def receive(message: Any) -> None:
-        if isinstance(message, NumberedNews):
-            tracker().on_keeper_message(address, NewsReceived(message.number, message.asker))
+        if isinstance(message, NumberedUpdate):
+            tracker().on_keeper_message(address, UpdateReceived(message.number, message.incarnation))
 
     return receive
 
@@ -99,10 +99,10 @@
     async def scenario() -> None:
         network = Network()
         tracker = make_tracker(network, tmp_path)
-        received: list[NumberedNews] = []
+        received: list[NumberedUpdate] = []
 
         def receive(message: Any) -> None:
-            if isinstance(message, NumberedNews):
+            if isinstance(message, NumberedUpdate):
                 received.append(message)
                 if len(received) == 3:  # the first two are lost
                     confirming(lambda: tracker, OTHER)(message)
@@ -139,7 +139,7 @@
         network = Network()
         tracker = make_tracker(network, tmp_path)
         await tracker.heartbeat(instance())
-        tracker.on_keeper_message(OTHER, InstanceNews((instance("draining", 2),)))
+        tracker.on_keeper_message(OTHER, InstanceUpdate((instance("draining", 2),)))
         assert not await tracker.heartbeat(instance("draining", 3))
 
     run(scenario)
@@ -151,8 +151,8 @@
         tracker = make_tracker(network, tmp_path, incarnation=2)
 
         def receive(message: Any) -> None:
-            if isinstance(message, NumberedNews):
-                tracker.on_keeper_message(OTHER, NewsReceived(message.number, 1))
+            if isinstance(message, NumberedUpdate):
+                tracker.on_keeper_message(OTHER, UpdateReceived(message.number, 1))
 
         network.reached[OTHER] = receive
         assert not await tracker.deregister("i-1")
@@ -166,11 +166,11 @@
     async def scenario() -> None:
         network = Network()
         tracker = make_tracker(network, tmp_path)
-        news = NumberedNews(7, 9, (instance("draining", 2),))
+        news = NumberedUpdate(7, 9, (instance("draining", 2),))
         done = asyncio.Event()
 
         def receive(message: Any) -> None:
-            assert isinstance(message, NewsReceived) and (message.number, message.asker) == (7, 9)
+            assert isinstance(message, UpdateReceived) and (message.number, message.incarnation) == (7, 9)
             done.set()
 
         network.reached[OTHER] = receive
@@ -198,9 +198,9 @@
 
         assert tracker._store is not None
         monkeypatch.setattr(tracker._store._slots, "write", fail)
-        tracker.on_keeper_message(OTHER, NumberedNews(7, 9, (instance("draining", 2),)))
+        tracker.on_keeper_message(OTHER, NumberedUpdate(7, 9, (instance("draining", 2),)))
         assert not await tracker.deregister("i-1")
-        assert not any(isinstance(message, NewsReceived) for message in network.sent)
+        assert not any(isinstance(message, UpdateReceived) for message in network.sent)
 
     run(scenario)
 
