--- a/pebbledrift/chain/coordination.py
+++ b/pebbledrift/chain/coordination.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from pebbledrift.chain.agreement import GATHER_ADDED_S, Agreement
-from pebbledrift.chain.link import SLOWEST_LINK, ChainLink, bytes_of
+from pebbledrift.chain.link import SLOWEST_LINK_BYTES_PER_S, ChainLink, entry_bytes
 from pebbledrift.chain.log import ReplicatedLog
 from pebbledrift.chain.messages import Stamp
 from pebbledrift.chain.peers import Peer, PeerTable
@@ -87,7 +87,7 @@
         if not self._log.holds(stamp):
             return False
         lacking = self._log.after(stamp.sequence, self._log.committed.sequence)
-        return len(lacking) <= LAG_MOST and sum(map(bytes_of, lacking)) <= LAG_BYTES
+        return len(lacking) <= LAG_MOST and sum(map(entry_bytes, lacking)) <= LAG_BYTES
 
     def _add(self, wanted: Plan, now: float) -> None:
         """Make the chain longer: each try interrupts the others, so that the next one waits longer."""
@@ -113,7 +113,7 @@
 
     def _transfer_s(self) -> float:
         """For how long entries that are not committed may be on their way down the chain."""
-        return sum(map(bytes_of, self._log.after(self._log.committed.sequence))) / SLOWEST_LINK
+        return sum(map(entry_bytes, self._log.after(self._log.committed.sequence))) / SLOWEST_LINK_BYTES_PER_S
 
 
 def _only_adds(wanted: Plan, view: View) -> bool:
--- a/pebbledrift/chain/link.py
+++ b/pebbledrift/chain/link.py
@@ -1,4 +1,4 @@
-"""One replica's place in the chain: entries come from the predecessor, are synced and go on."""
+"""One replica's link in the chain: receives entries from the predecessor, syncs and forwards them."""
 
 from __future__ import annotations
 
@@ -24,36 +24,39 @@
 from pebbledrift.chain.view import address_of
 from pebbledrift.control.orders import Judgement, Order
 
-JOIN_AGAIN_S, JOIN_AGAIN_GROWTH, JOIN_AGAIN_MOST_S = 0.05, 1.5, 2.0  # until the predecessor has answered
-POLL_S = 0.3  # a member that has joined asks so often whether anything got lost on the way to it
-BATCH_BYTES = 32 * 1024  # of entries in one message, unless a single one is larger
-LARGE_BYTES = 64 * 1024  # an entry of more, if it is committed, is told by the parts of a snapshot
-BATCH_ENTRIES = 256
-SLOWEST_LINK = 50_000.0  # bytes a second: what was sent may be under way for as long as that takes
+# Retry intervals of JoinChain until the predecessor has answered.
+JOIN_RETRY_S, JOIN_RETRY_GROWTH, MAX_JOIN_RETRY_S = 0.05, 1.5, 2.0
+LOSS_POLL_S = 0.3  # interval at which a joined member asks for entries lost in transit
+MAX_BATCH_BYTES = 32 * 1024  # of entry bodies in one message; a single larger entry is sent alone
+LARGE_BATCH_BYTES = 64 * 1024  # a larger committed entry is sent as parts of a snapshot
+MAX_BATCH_ENTRIES = 256
+SLOWEST_LINK_BYTES_PER_S = 50_000.0  # a message counts as in transit for as long as this rate needs
 
 
-def bytes_of(entry: Entry) -> int:
-    """What an entry takes on the wire, about."""
+def entry_bytes(entry: Entry) -> int:
+    """Approximate size of an entry on the wire, in bytes."""
     return len(entry.order.body) if entry.order is not None else 0
 
 
 def batch(entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
-    """As many of these entries as go into one message: one at least."""
+    """Returns the leading entries that fit into one message, at least one if there is any."""
     total = 0
-    for count, entry in enumerate(entries[:BATCH_ENTRIES]):
-        total += bytes_of(entry)
-        if count and total > BATCH_BYTES:
+    for count, entry in enumerate(entries[:MAX_BATCH_ENTRIES]):
+        total += entry_bytes(entry)
+        if count and total > MAX_BATCH_BYTES:
             return entries[:count]
-    return entries[:BATCH_ENTRIES]
+    return entries[:MAX_BATCH_ENTRIES]
 
 
-def is_large(entries: tuple[Entry, ...], log: ReplicatedLog) -> bool:
-    """Whether a batch is one large entry that a snapshot has as well, which goes in parts."""
-    return sum(map(bytes_of, entries)) > LARGE_BYTES and entries[-1].sequence <= log.committed.sequence
+def prefers_snapshot(entries: tuple[Entry, ...], log: ReplicatedLog) -> bool:
+    """Whether a batch is one large committed entry, which is sent as parts of a snapshot instead."""
+    return (
+        sum(map(entry_bytes, entries)) > LARGE_BATCH_BYTES and entries[-1].sequence <= log.committed.sequence
+    )
 
 
 class ChainLink:
-    """Receives, syncs and passes on the entries of one epoch; the tail commits them."""
+    """Receives, syncs and forwards the entries of one epoch; the tail commits them."""
 
     def __init__(
         self,
@@ -66,82 +69,82 @@
         source: SnapshotSource,
     ) -> None:
         self.agreement, self.log, self.outbox = agreement, log, outbox
-        self._committed, self._announce, self._answer_barrier = committed, announce, answer_barrier
-        self._source = source
+        self._on_entries_committed, self._announce, self._answer_barrier = committed, announce, answer_barrier
+        self._snapshot_source = source
         self.position: int | None = None
-        self.joined = False  # we have all that the predecessor had synced
+        self.joined = False  # has every entry that the predecessor had synced
         self._synced = 0
-        self._forwarded: int | None = None  # None: the successor has not joined yet
-        self._barriers: list[Barrier] = []  # at the tail: wait for entries before them
-        self._ask_at = 0.0
-        self._ask_wait_s = JOIN_AGAIN_S
-        self._sent_at = float("-inf")  # when the successor was sent entries last, over the present connection
-        self._matched: Stamp = NO_STAMP  # up to here our log is known to be the predecessor's
-        self._settled = False  # all that we began the epoch with is synced
-        self._asked: JoinChain | None = None  # by a successor, before we could answer
-        self._answered: JoinChain | None = None  # the last question that entries were sent for
+        self._forwarded: int | None = None  # newest sequence sent; None until it has joined
+        self._waiting_barriers: list[Barrier] = []  # at the tail: waiting for earlier entries to commit
+        self._join_at = 0.0
+        self._join_retry_s = JOIN_RETRY_S
+        self._entries_sent_at = float("-inf")  # time of the last entries sent over the present connection
+        self._matched_stamp: Stamp = NO_STAMP  # the log equals the predecessor's up to here
+        self._initial_log_synced = False  # the entries that the epoch started with are synced
+        self._deferred_join: JoinChain | None = None  # received before this replica could answer
+        self._answered_join: JoinChain | None = None  # the last one that was answered with entries
 
     @property
     def epoch(self) -> int:
-        """The epoch of the view in force; 0 without one."""
+        """The epoch of the current view; 0 if there is none."""
         return 0 if self.agreement.view is None else self.agreement.view.epoch
 
     @property
     def synced(self) -> int:
-        """The sequence up to which the log is known to be on the disk, in this epoch."""
+        """The sequence up to which the log is known in this epoch to be on disk."""
         return self._synced
 
     @property
     def established(self) -> bool:
-        """Whether the chain of the present view has committed something: all of it has all before."""
+        """Whether the current chain has committed an entry: all its members then have all earlier entries."""
         return self.epoch > 0 and self.log.committed.epoch == self.epoch
 
     @property
     def active(self) -> bool:
-        """Whether we take part in the chain of the present view."""
+        """Whether this replica takes part in the chain of the current view."""
         return self.joined and not self.agreement.sealed
 
     @property
     def is_head(self) -> bool:
-        """Whether orders are taken here."""
+        """Whether this replica accepts orders."""
         return self.active and self.position == 0
 
     @property
     def is_tail(self) -> bool:
-        """Whether replies are given here."""
+        """Whether this replica commits entries and answers calls."""
         view = self.agreement.view
         return self.active and view is not None and self.position == len(view.chain) - 1
 
     def _neighbour(self, step: int) -> str | None:
-        """The node before (-1) or behind (1) us in the chain."""
+        """The predecessor (step -1) or successor (step 1) in the chain, if there is one."""
         view = self.agreement.view
         if view is None or self.position is None or not 0 <= self.position + step < len(view.chain):
             return None
         return view.chain[self.position + step].node
 
     def enter(self) -> None:
-        """A new view is in force: take our place in its chain."""
+        """Takes this replica's position in the chain of a newly decided view."""
         view = self.agreement.view
         assert view is not None
         self.position = view.position(self.agreement.node, self.agreement.incarnation)
         self.joined = False
         self._synced = self.log.committed.sequence
         self._forwarded = None
-        self._barriers = []
-        self._settled = False
-        self._matched = NO_STAMP
-        self._answered = None
-        self._sent_at = float("-inf")
-        if self._asked is not None and self._asked.epoch != self.epoch:
-            self._asked = None
+        self._waiting_barriers = []
+        self._initial_log_synced = False
+        self._matched_stamp = NO_STAMP
+        self._answered_join = None
+        self._entries_sent_at = float("-inf")
+        if self._deferred_join is not None and self._deferred_join.epoch != self.epoch:
+            self._deferred_join = None
         if self.position == 0:
             self.joined = True
             self.append(None)
-        self._ask_soon()
+        self._schedule_join()
         self.tick(self.outbox.now)
 
     def append(self, order: Order | None) -> Entry:
-        """At the head: add an entry."""
+        """Appends an entry; called at the head only."""
         entry = Entry(self.epoch, self.log.last.sequence + 1, order)
         self.log.append(entry)
         self._sync((entry,))
@@ -155,10 +158,10 @@
         if epoch != self.epoch or not self.active:
             return
         self._synced = max(self._synced, sequence)
-        self._settled = True
-        if self._asked is not None:
-            asked, self._asked = self._asked, None
-            self.on_join(asked)
+        self._initial_log_synced = True
+        if self._deferred_join is not None:
+            deferred_join, self._deferred_join = self._deferred_join, None
+            self.on_join(deferred_join)
         if self.is_tail:
             self._commit_at_tail()
         else:
@@ -173,171 +176,172 @@
         self._send_entries(successor, Append(self.epoch, entries))
 
     def _send_entries(self, successor: str, message: Append | ChainState) -> None:
-        self._sent_at = self.outbox.now
+        self._entries_sent_at = self.outbox.now
         self.outbox.send(address_of(successor), message)
 
     def _commit_at_tail(self) -> None:
-        fresh = self.log.commit(self._synced)
-        if fresh:
+        new_entries = self.log.commit(self._synced)
+        if new_entries:
             self._announce(Committed(self.epoch, self.log.committed))
-            self._committed(fresh)
-        waiting, self._barriers = self._barriers, []
+            self._on_entries_committed(new_entries)
+        waiting, self._waiting_barriers = self._waiting_barriers, []
         for barrier in waiting:
-            self._end_barrier(barrier)
+            self._complete_barrier(barrier)
 
     # joining
 
     def tick(self, now: float) -> None:
-        """Ask the predecessor until it has told what we lack, and now and then whether something was lost."""
+        """Asks the predecessor for missing entries until it answers, then periodically for lost ones."""
         predecessor = self._neighbour(-1)
-        if predecessor is None or self.agreement.sealed or now < self._ask_at:
+        if predecessor is None or self.agreement.sealed or now < self._join_at:
             return
-        self._ask_at = now + (POLL_S if self.joined else self._ask_wait_s)
-        self._ask_wait_s = min(JOIN_AGAIN_MOST_S, JOIN_AGAIN_GROWTH * self._ask_wait_s)
-        known = max(self.log.committed, self._matched)
-        ask = JoinChain(self.epoch, self.agreement.node, self.joined, self.log.last, known)
-        self.outbox.send(address_of(predecessor), ask)
+        self._join_at = now + (LOSS_POLL_S if self.joined else self._join_retry_s)
+        self._join_retry_s = min(MAX_JOIN_RETRY_S, JOIN_RETRY_GROWTH * self._join_retry_s)
+        known_common = max(self.log.committed, self._matched_stamp)
+        join = JoinChain(self.epoch, self.agreement.node, self.joined, self.log.last, known_common)
+        self.outbox.send(address_of(predecessor), join)
 
     def on_join(self, message: JoinChain) -> None:
-        """The successor asks for what it lacks; entries that we have not synced ourselves follow later."""
-        if not self._settled or message.epoch > self.epoch:
-            self._asked = message
+        """Answers the successor's JoinChain; entries not yet synced here follow later."""
+        if not self._initial_log_synced or message.epoch > self.epoch:
+            self._deferred_join = message
             return
         if message.epoch != self.epoch or not self.active or message.node != self._neighbour(1):
             return
         last, committed = Stamp(*message.last), Stamp(*message.committed)
         if message.joined and self.log.holds(last):
-            self._send_again(message.node, last)
+            self._resend_lacking(message.node, last)
             return
         common = next(
             (s for s in (last, committed) if s.sequence <= self._synced and self.log.holds(s)), None
         )
         entries = batch(self.log.after(common.sequence, self._synced)) if common is not None else ()
-        if common is None or is_large(entries, self.log):
-            self.outbox.send(address_of(message.node), self._source.offer(self.outbox.now))
+        if common is None or prefers_snapshot(entries, self.log):
+            self.outbox.send(address_of(message.node), self._snapshot_source.offer(self.outbox.now))
             return
-        if message == self._answered and self._may_be_under_way(entries, JOIN_AGAIN_S):
+        if message == self._answered_join and self._may_be_in_transit(entries, JOIN_RETRY_S):
             return
-        self._answered = message
+        self._answered_join = message
         until = entries[-1].sequence if entries else common.sequence
         complete = until >= self._synced
         self._forwarded = until if complete else None
         self._send_entries(message.node, ChainState(self.epoch, common, entries, complete))
 
-    def _send_again(self, successor: str, last: Stamp) -> None:
-        """Send what the successor lacks, unless it may still be on its way."""
+    def _resend_lacking(self, successor: str, last: Stamp) -> None:
+        """Sends the entries that the successor lacks, unless they may still be in transit."""
         lacking = self.log.after(last.sequence, self._synced)
-        if lacking and not self._may_be_under_way(lacking, POLL_S / 2):
+        if lacking and not self._may_be_in_transit(lacking, LOSS_POLL_S / 2):
             self._send_entries(successor, Append(self.epoch, batch(lacking)))
 
-    def _may_be_under_way(self, entries: tuple[Entry, ...], least_s: float) -> bool:
-        """Whether these may still be on their way to the successor, on a slow link."""
-        needed_s = least_s + sum(map(bytes_of, entries)) / SLOWEST_LINK
-        return self.outbox.now - self._sent_at < needed_s
+    def _may_be_in_transit(self, entries: tuple[Entry, ...], min_s: float) -> bool:
+        """Whether these entries may still be in transit to the successor on a slow link."""
+        needed_s = min_s + sum(map(entry_bytes, entries)) / SLOWEST_LINK_BYTES_PER_S
+        return self.outbox.now - self._entries_sent_at < needed_s
 
     def on_chain_state(self, message: ChainState) -> None:
-        """The predecessor's log takes the place of whatever we had beyond what is common."""
+        """Replaces the local entries after the common prefix by the predecessor's."""
         if message.epoch != self.epoch or self.joined or self.position is None or self.agreement.sealed:
             return
         after = Stamp(*message.after)
         if self.log.holds(after):
-            self._take_over(after, message.entries, message.complete)
+            self._adopt_entries(after, message.entries, message.complete)
 
-    def _take_over(self, after: Stamp, entries: tuple[Entry, ...], complete: bool) -> None:
-        """Go on behind `after` with these entries in the place of ours.
+    def _adopt_entries(self, after: Stamp, entries: tuple[Entry, ...], complete: bool) -> None:
+        """Replaces the local entries behind `after` by these.
 
-        Entries of this epoch came from the predecessor as well: an answer that was long under way may lack
-        them, and they are counted on.
+        Local entries of this epoch also came from the predecessor. They are kept: a delayed answer may lack
+        them, and they may already count as synced here.
         """
         missing = tuple(entry for entry in entries if not self.log.holds(entry.stamp))
         keep = missing[0].sequence - 1 if missing else (entries[-1].sequence if entries else after.sequence)
-        overtaken = missing or complete
-        if overtaken and self.log.last.sequence > keep and self.log.last.epoch < self.epoch:
+        replaces = missing or complete
+        if replaces and self.log.last.sequence > keep and self.log.last.epoch < self.epoch:
             self.log.truncate(keep)
             self.outbox.persist(Truncate(keep))
         if missing and missing[0].sequence != self.log.last.sequence + 1:
             return
         for entry in missing:
             self.log.append(entry)
-        self._matched = entries[-1].stamp if entries else after
+        self._matched_stamp = entries[-1].stamp if entries else after
         self.joined = complete
         self._sync(missing)
         if not complete:
-            self.ask_now()
+            self.join_now()
 
-    def _ask_soon(self) -> None:
-        """Ask at the next tick, and often until there is an answer."""
-        self._ask_at, self._ask_wait_s = 0.0, JOIN_AGAIN_S
+    def _schedule_join(self) -> None:
+        """Makes the next tick send JoinChain, and resets its retry interval."""
+        self._join_at, self._join_retry_s = 0.0, JOIN_RETRY_S
 
-    def ask_now(self) -> None:
-        """Ask the predecessor at once: what came from it is taken in."""
-        self._ask_soon()
+    def join_now(self) -> None:
+        """Sends JoinChain to the predecessor at once, as the previous answer has been processed."""
+        self._schedule_join()
         self.tick(self.outbox.now)
 
-    def put_off_asking(self, now: float) -> None:
-        """A snapshot is under way to us: the next question waits for it."""
-        self._ask_at, self._ask_wait_s = now + JOIN_AGAIN_S, JOIN_AGAIN_S
+    def postpone_join(self, now: float) -> None:
+        """Delays the next JoinChain while a snapshot is being received."""
+        self._join_at, self._join_retry_s = now + JOIN_RETRY_S, JOIN_RETRY_S
 
     def on_append(self, message: Append) -> None:
-        """Entries from the predecessor; after a gap we ask again for what is missing."""
+        """Appends entries from the predecessor; after a gap it joins again to get the missing ones."""
         if message.epoch != self.epoch or not self.active or not message.entries:
             return
-        fresh = tuple(e for e in message.entries if e.sequence > self.log.last.sequence)
-        if not fresh:
+        new_entries = tuple(e for e in message.entries if e.sequence > self.log.last.sequence)
+        if not new_entries:
             return
-        if fresh[0].sequence != self.log.last.sequence + 1:
+        if new_entries[0].sequence != self.log.last.sequence + 1:
             self.joined = False
-            self._ask_soon()
+            self._schedule_join()
             return
-        for entry in fresh:
+        for entry in new_entries:
             self.log.append(entry)
-        self._sync(fresh)
+        self._sync(new_entries)
 
     def on_committed(self, message: Committed) -> bool:
-        """A tail has committed; returns whether we have the entries that this is about.
+        """Commits up to the stamp that a tail announced; returns whether the log has these entries.
 
-        What is committed stays so in every epoch, and whoever holds an entry holds the same ones before it.
+        Messages of any epoch count: committed entries stay committed in every later epoch, and replicas that
+        have the same entry have the same entries before it.
         """
         stamp = Stamp(*message.stamp)
         if stamp.sequence <= self.log.committed.sequence:
             return True
         if not self.log.holds(stamp):
             return False
-        self._committed(self.log.commit(stamp.sequence))
+        self._on_entries_committed(self.log.commit(stamp.sequence))
         return True
 
     def connection_lost(self, node: str) -> None:
-        """The way to another replica broke: messages may be lost that were on it."""
+        """Joins again if the connection to the predecessor broke, as messages may have been lost."""
         if node == self._neighbour(-1):
             self.joined = False
-            self._ask_soon()
+            self._schedule_join()
 
     def connection_opened(self, node: str) -> None:
-        """What was sent to the successor before is lost, also what was sent while there was no connection."""
+        """Allows entries to be resent to the successor: those sent before this connection are lost."""
         if node == self._neighbour(1):
-            self._sent_at = float("-inf")
+            self._entries_sent_at = float("-inf")
 
     # barriers
 
     def start_barrier(self, call: CallId, judgement: Judgement | None) -> None:
-        """At the head: let a verdict or a read run down the chain, behind all entries so far."""
+        """Sends a judgement or a read down the chain behind all entries so far; called at the head only."""
         self.on_barrier(Barrier(self.epoch, 0, self.log.last.sequence, call, judgement))
 
     def on_barrier(self, barrier: Barrier) -> None:
-        """Pass a barrier on, or answer it at the tail; who has left the epoch does neither."""
+        """Forwards a barrier, or handles it at the tail; a replica that has left the epoch drops it."""
         if barrier.epoch != self.epoch or barrier.position != self.position or not self.active:
             return
         if self.is_tail:
-            self._end_barrier(barrier)
+            self._complete_barrier(barrier)
             return
         successor = self._neighbour(1)
         if successor is not None:
-            following = replace(barrier, position=barrier.position + 1)
-            self.outbox.send(address_of(successor), following)
+            forwarded_barrier = replace(barrier, position=barrier.position + 1)
+            self.outbox.send(address_of(successor), forwarded_barrier)
 
-    def _end_barrier(self, barrier: Barrier) -> None:
+    def _complete_barrier(self, barrier: Barrier) -> None:
         if self.log.committed.sequence >= barrier.after:
             self._answer_barrier(barrier)
         else:
-            self._barriers.append(barrier)
-            del self._barriers[:-256]
+            self._waiting_barriers.append(barrier)
+            del self._waiting_barriers[:-256]
--- a/pebbledrift/chain/messages.py
+++ b/pebbledrift/chain/messages.py
@@ -1,4 +1,4 @@
-"""What replicas tell each other, and what they put on their disks."""
+"""Messages that replicas exchange, and records that they write to disk."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Stamp(NamedTuple):
-    """Names an entry of the log and all that come before it."""
+    """Identifies a log entry, and with it all entries before it: equal stamps mean equal prefixes."""
 
     epoch: int
     sequence: int
@@ -19,13 +19,13 @@
 class Ballot(NamedTuple):
     """Orders the attempts to agree on the view of an epoch.
 
-    No two attempts have one ballot: the next process of a replica may not know which rounds the one before
-    began, and is another proposer for that reason.
+    Ballots are unique. A restarted replica may not know which rounds its previous process started, so the
+    proposer includes the incarnation.
     """
 
     epoch: int
     round: int
-    proposer: str  # replica and incarnation
+    proposer: str  # node and incarnation of the proposing replica
 
 
 NO_STAMP = Stamp(0, 0)
@@ -34,7 +34,7 @@
 
 @message(50)
 class Entry:
-    """One entry of the log. Without an order it marks the begin of an epoch."""
+    """One log entry. An entry without an order marks the start of an epoch."""
 
     epoch: int
     sequence: int
@@ -42,13 +42,13 @@
 
     @property
     def stamp(self) -> Stamp:
-        """The entry's name."""
+        """The stamp that identifies the entry."""
         return Stamp(self.epoch, self.sequence)
 
 
 @message(51)
 class Snapshot:
-    """The state that the log led to, up to and with the entry of this stamp."""
+    """The state after applying the log up to and including the entry with this stamp."""
 
     stamp: tuple[int, int]
     config: bytes
@@ -57,34 +57,34 @@
 
 @message(60)
 class Heartbeat:
-    """Told to every known keeper several times a second."""
+    """Sent to every known keeper several times a second."""
 
     node: str
     incarnation: int
     zone: str
-    control: str  # address at which it serves workers and the operator
-    eligible: bool  # it has a disk, and its loss is counted
-    healthy: bool  # its disk answers
+    control: str  # address at which the sender serves workers and the operator
+    eligible: bool  # has a disk, and counts towards the number of tolerated failures
+    healthy: bool  # the disk responds
     leaving: bool
     epoch: int
-    sealed: bool  # it has promised to take part in a later view only
+    sealed: bool  # has promised to take part only in a later view
     committed: tuple[int, int]
-    settled: bool  # all that has been in its log for a second is committed there
-    keepers: tuple[str, ...]  # addresses of the keepers that it hears
-    number: int  # rises with each heartbeat of one process
-    echo: tuple[int, int]  # incarnation and number of the newest heartbeat that the receiver has sent here
+    settled: bool  # every entry that has been in the sender's log for a second is committed there
+    keepers: tuple[str, ...]  # addresses of the keepers that the sender receives heartbeats from
+    number: int  # increases with each heartbeat of one process
+    echo: tuple[int, int]  # incarnation and number of the newest heartbeat received from the addressee
 
 
 @message(61)
 class ViewNotice:
-    """The newest decided view that the sender knows."""
+    """Carries the newest decided view that the sender knows."""
 
     view: View
 
 
 @message(62)
 class Prepare:
-    """Asks for a promise to take part in no earlier ballot, and in no earlier view."""
+    """Asks for a promise not to take part in any earlier ballot or any earlier view."""
 
     ballot: tuple[int, int, str]
     base: View
@@ -92,7 +92,7 @@
 
 @message(63)
 class Promise:
-    """The promise, with what a new view has to respect."""
+    """Grants a promise, and reports the log and the accepted view that a new view must preserve."""
 
     ballot: tuple[int, int, str]
     node: str
@@ -104,7 +104,7 @@
 
 @message(64)
 class Reject:
-    """A later ballot was promised, or a later view is known."""
+    """Refuses a ballot: a later one was promised, or a later view is known."""
 
     ballot: tuple[int, int, str]
     promised: tuple[int, int, str]
@@ -113,7 +113,7 @@
 
 @message(65)
 class Accept:
-    """Asks to accept a view."""
+    """Asks the receiver to accept a view."""
 
     ballot: tuple[int, int, str]
     view: View
@@ -121,7 +121,7 @@
 
 @message(66)
 class Accepted:
-    """The view is on the sender's disk."""
+    """Confirms that the accepted view is on the sender's disk."""
 
     ballot: tuple[int, int, str]
     node: str
@@ -129,28 +129,28 @@
 
 @message(70)
 class JoinChain:
-    """Asks the predecessor for what follows the newest entry that both have."""
+    """Asks the predecessor for the entries after the newest one that both replicas have."""
 
     epoch: int
     node: str
-    joined: bool  # it has been answered before: only what got lost on the way is wanted
+    joined: bool  # already has a complete answer, and asks only for entries lost in transit
     last: tuple[int, int]
     committed: tuple[int, int]
 
 
 @message(71)
 class ChainState:
-    """Answers JoinChain: the log goes on after `after` with these entries."""
+    """Answers JoinChain: these entries follow the entry `after` in the log."""
 
     epoch: int
     after: tuple[int, int]
     entries: tuple[Entry, ...]
-    complete: bool  # no more entries follow for now; else the successor asks again
+    complete: bool  # the sender has no more entries for now; otherwise the successor asks again
 
 
 @message(72)
 class Append:
-    """Entries for the next in the chain."""
+    """Carries new entries to the successor in the chain."""
 
     epoch: int
     entries: tuple[Entry, ...]
@@ -158,7 +158,7 @@
 
 @message(73)
 class Committed:
-    """All members of the chain have synced up to here."""
+    """Announces that all members of the chain have synced the log up to this stamp."""
 
     epoch: int
     stamp: tuple[int, int]
@@ -166,34 +166,34 @@
 
 @message(79)
 class CallId:
-    """Names one call of one process. The next process at the address counts anew, as another incarnation."""
+    """Identifies one call of one process. A restarted process numbers its calls anew in a new incarnation."""
 
-    origin: str  # address of the keeper that the call was made at
+    origin: str  # address of the keeper that received the call
     incarnation: int
     number: int
 
 
 @message(74)
 class Barrier:
-    """Runs down the chain behind the entries before it; the tail answers for it."""
+    """Travels down the chain behind all earlier entries; the tail sends the answer."""
 
     epoch: int
-    position: int  # in the chain, of whom it is for
-    after: int
+    position: int  # position in the chain of the receiver
+    after: int  # sequence that must be committed before the tail answers
     call: CallId
     judgement: Judgement | None
 
 
 @message(75)
 class Fetch:
-    """Asks for committed entries after the ones that the sender has."""
+    """Asks for the committed entries after the sender's newest committed one."""
 
     committed: tuple[int, int]
 
 
 @message(76)
 class Fetched:
-    """Answers Fetch, where the entries are still kept."""
+    """Answers Fetch if the receiver still retains the entries."""
 
     after: tuple[int, int]
     entries: tuple[Entry, ...]
@@ -201,7 +201,7 @@
 
 @message(77)
 class SnapshotRequest:
-    """Asks for a part of an encoded snapshot: of the one with this stamp, or of any at NO_STAMP."""
+    """Asks for a part of the encoded snapshot with this stamp; NO_STAMP asks for any snapshot."""
 
     stamp: tuple[int, int]
     offset: int
@@ -209,17 +209,21 @@
 
 @message(78)
 class SnapshotPart:
-    """A part of an encoded snapshot. One without data offers it: the entries wanted are not kept any more."""
+    """A part of an encoded snapshot.
+
+    A part without data offers a snapshot in place of entries that are no longer retained, or that are too
+    large for one message.
+    """
 
     stamp: tuple[int, int]
-    size: int  # of the whole, in bytes
+    size: int  # of the whole encoded snapshot, in bytes
     offset: int
     data: bytes
 
 
 @message(80)
 class Submit:
-    """An order, or without one a read, for the head of this epoch."""
+    """Sends an order to the head of this epoch, or a read if there is no order."""
 
     call: CallId
     epoch: int
@@ -228,17 +232,17 @@
 
 @message(81)
 class Answer:
-    """The verdict on an order, or without one the state that a read has to wait for."""
+    """The judgement on an order. For a read there is none, and the caller waits for the committed stamp."""
 
     call: CallId
-    epoch: int  # of the chain that gave it
+    epoch: int  # of the chain that answered
     judgement: Judgement | None
     committed: tuple[int, int]
 
 
 @message(82)
 class NotHead:
-    """Whoever was asked is not the head of that epoch; the view tells who is."""
+    """Reports that the receiver of a call is not the head of that epoch; the view shows the head."""
 
     call: CallId
     view: View
@@ -246,14 +250,14 @@
 
 @message(90)
 class Identity:
-    """Record: the replica whose disk this is."""
+    """Record: the node that owns the disk."""
 
     node: str
 
 
 @message(91)
 class Vote:
-    """Record: what was promised and accepted."""
+    """Record: the promised ballot, and the accepted ballot and view."""
 
     promised: tuple[int, int, str]
     accepted_ballot: tuple[int, int, str]
@@ -262,14 +266,14 @@
 
 @message(92)
 class Truncate:
-    """Record: entries after this sequence are void."""
+    """Record: entries after this sequence are dropped."""
 
     sequence: int
 
 
 @message(94)
 class Image:
-    """All that a replica has to remember: what a slot holds."""
+    """The durable state of a replica, as a slot stores it."""
 
     node: str
     view: View
@@ -278,7 +282,7 @@
     entries: tuple[Entry, ...]
 
 
-# short, and right in whatever order they come: they never wait behind entries
+# These messages are short and correct in any order of arrival, so they never queue behind entries.
 URGENT = (
     *(Heartbeat, ViewNotice, Prepare, Promise, Reject, Accept, Accepted),
     *(JoinChain, Fetch, SnapshotRequest, NotHead, Answer),
--- a/pebbledrift/chain/requests.py
+++ b/pebbledrift/chain/requests.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from pebbledrift.chain.agreement import Agreement
-from pebbledrift.chain.link import SLOWEST_LINK, ChainLink
+from pebbledrift.chain.link import SLOWEST_LINK_BYTES_PER_S, ChainLink
 from pebbledrift.chain.log import ReplicatedLog
 from pebbledrift.chain.messages import Answer, Barrier, CallId, NotHead, Submit
 from pebbledrift.chain.outbox import Outbox
@@ -34,7 +34,7 @@
 
 def _under_way_s(call: PendingCall) -> float:
     """For how long a call may be on its way to the head."""
-    return len(call.order.body) / SLOWEST_LINK if call.order is not None else 0.0
+    return len(call.order.body) / SLOWEST_LINK_BYTES_PER_S if call.order is not None else 0.0
 
 
 class RequestDesk:
--- a/pebbledrift/chain/transfer.py
+++ b/pebbledrift/chain/transfer.py
@@ -1,4 +1,7 @@
-"""Snapshots in parts: the receiver asks for one at a time, and goes on where it was after a break. No I/O."""
+"""Transfer of snapshots in parts. No I/O.
+
+The receiver requests one part at a time, and resumes after a lost connection where it stopped.
+"""
 
 from __future__ import annotations
 
@@ -12,73 +15,79 @@
 from pebbledrift.cluster.errors import MessageError
 
 PART_BYTES = 32 * 1024
-ENCODED_MOST = codec.FRAME_MOST
-DECODED_MOST = 2 * codec.FRAME_MOST
-KEPT_S = 10.0  # an image is kept for so long after the last part was asked for
+MAX_ENCODED_BYTES = codec.FRAME_MOST
+MAX_DECODED_BYTES = 2 * codec.FRAME_MOST
+CACHE_TTL_S = 10.0  # an encoded snapshot is kept for this time after the last request for it
 COMPRESSION_LEVEL = 1
-AGAIN_S, AGAIN_GROWTH, AGAIN_MOST_S = (
+# Retry intervals of a request for a part; slow links need 0.7 s for one.
+RETRY_S, RETRY_GROWTH, MAX_RETRY_S = (
     1.2,
     2.0,
     9.0,
-)  # until a part is asked for again; slow links take 0.7 s
-STALLED_S = 0.8  # a source that has told no part for so long may be gone
-RIVAL_S = 0.6  # and so long another one offers before ours is given up: it may only have been cut off
+)
+STALL_TIMEOUT_S = 0.8  # a source that has sent no part for this time may be down
+# A stalled source is replaced this long after the first offer of another one: it may only be cut off briefly.
+FAILOVER_DELAY_S = 0.6
 
 Send = Callable[[str, Any], None]
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """The bytes that go over the wire."""
+    """Encodes and compresses a snapshot for the wire."""
     return zlib.compress(codec.encode(snapshot), COMPRESSION_LEVEL)
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """A snapshot from its bytes; raises MessageError on anything else."""
-    inflater = zlib.decompressobj()
+    """Decodes a snapshot; raises MessageError if the data is not a complete snapshot of acceptable size."""
+    decompressor = zlib.decompressobj()
     try:
-        body = inflater.decompress(data, DECODED_MOST)
+        body = decompressor.decompress(data, MAX_DECODED_BYTES)
     except zlib.error as error:
-        raise MessageError(f"snapshot: {error}") from error
-    if not inflater.eof:
-        raise MessageError("snapshot: cut short or too large")
+        raise MessageError(f"snapshot cannot be decompressed: {error}") from error
+    if not decompressor.eof:
+        raise MessageError("snapshot is truncated or too large")
     snapshot = codec.decode(body)
     if not isinstance(snapshot, Snapshot):
-        raise MessageError(f"snapshot: found {type(snapshot).__name__}")
+        raise MessageError(f"snapshot expected, received {type(snapshot).__name__}")
     return snapshot
 
 
 class SnapshotSource:
-    """Hands out one encoded image of the committed state, the same to all that ask while it is of use."""
+    """Serves one encoded snapshot of the committed state to all requesters while it remains usable."""
 
     def __init__(self, log: ReplicatedLog) -> None:
         self._log = log
         self._stamp: Stamp = NO_STAMP
         self._data = b""
-        self._asked_at = 0.0
+        self._requested_at = 0.0
 
     def offer(self, now: float) -> SnapshotPart:
-        """Tell somebody that lacks entries which are not kept any more that there is a snapshot."""
+        """An empty part that offers a snapshot to a replica that cannot catch up by entries."""
         first = self.part(NO_STAMP, 0, now)
         return SnapshotPart(first.stamp, first.size, 0, b"")
 
     def part(self, stamp: Stamp, offset: int, now: float) -> SnapshotPart:
-        """A part of the image with this stamp; the first one of another image where it is not kept."""
+        """A part of the snapshot with this stamp, or the first part of the cached one if that differs.
+
+        Encodes a new snapshot if none is cached, or if the cached one is not the requested one and the log no
+        longer has the entries after it.
+        """
         if not self._data or (stamp != self._stamp and not self._log.holds(self._stamp)):
             self._data = encode_snapshot(self._log.snapshot())
             self._stamp = self._log.committed
-        self._asked_at = now
+        self._requested_at = now
         if stamp != self._stamp or not 0 <= offset < len(self._data):
             offset = 0
         return SnapshotPart(self._stamp, len(self._data), offset, self._data[offset : offset + PART_BYTES])
 
     def tick(self, now: float) -> None:
-        """Let go of an image that nobody asks for any more."""
-        if self._data and now - self._asked_at > KEPT_S:
+        """Drops a cached snapshot that was not requested for CACHE_TTL_S."""
+        if self._data and now - self._requested_at > CACHE_TTL_S:
             self._data, self._stamp = b"", NO_STAMP
 
 
 class SnapshotFetch:
-    """Collects the parts of one snapshot from one source at a time, with one request under way."""
+    """Collects the parts of one snapshot from one source at a time, with one outstanding request."""
 
     def __init__(self, send: Send) -> None:
         self._send = send
@@ -86,27 +95,27 @@
         self._stamp: Stamp = NO_STAMP
         self._size = 0
         self._buffer = bytearray()
-        self._wait_s = AGAIN_S
-        self._again_at = 0.0
-        self._taken_at = 0.0
-        self._rival_since: float | None = None  # another source has offered since, and ours has told nothing
+        self._retry_s = RETRY_S
+        self._retry_at = 0.0
+        self._last_part_at = 0.0
+        self._other_offer_since: float | None = None  # first offer of another source since the last part
 
     @property
     def active(self) -> bool:
-        """Whether a snapshot is under way."""
+        """Whether a snapshot is being transferred."""
         return bool(self._source)
 
     def stalled(self, now: float) -> bool:
-        """Whether no part has come for long: its source may be gone."""
-        return self.active and now - self._taken_at > STALLED_S
+        """Whether no part has arrived for STALL_TIMEOUT_S: the source may be down."""
+        return self.active and now - self._last_part_at > STALL_TIMEOUT_S
 
     def stop(self) -> None:
-        """Forget what has come."""
+        """Ends the transfer and drops the parts received so far."""
         self._source, self._stamp, self._size = "", NO_STAMP, 0
         self._buffer = bytearray()
 
-    def take(self, sender: str, part: SnapshotPart, now: float) -> Snapshot | None:
-        """Take a part in; returns the snapshot once it is whole. Raises MessageError on what is none."""
+    def receive(self, sender: str, part: SnapshotPart, now: float) -> Snapshot | None:
+        """Processes a part; returns the snapshot once complete. Raises MessageError if it is invalid."""
         stamp = Stamp(*part.stamp)
         if not part.data:
             self._on_offer(sender, stamp, part.size, now)
@@ -114,66 +123,66 @@
         if sender != self._source:
             return None
         if stamp != self._stamp and part.offset == 0:
-            self._begin(sender, stamp, part.size)
+            self._start(sender, stamp, part.size)
         if stamp != self._stamp or part.offset != len(self._buffer):
             return None
         return self._append(part.data, now)
 
     def _append(self, data: bytes, now: float) -> Snapshot | None:
         self._buffer += data
-        self._taken_at, self._wait_s, self._rival_since = now, AGAIN_S, None
+        self._last_part_at, self._retry_s, self._other_offer_since = now, RETRY_S, None
         if len(self._buffer) < self._size:
-            self._ask(now)
+            self._request_part(now)
             return None
-        whole = bytes(self._buffer)
+        encoded = bytes(self._buffer)
         self.stop()
-        return decode_snapshot(whole)
+        return decode_snapshot(encoded)
 
     def _on_offer(self, sender: str, stamp: Stamp, size: int, now: float) -> None:
-        """Begin with a source, or go over to another one where ours is silent while the other offers."""
-        if self.active and not self._may_take_over(sender, stamp, now):
+        """Starts a transfer, or switches to another source that offers while the current one is stalled."""
+        if self.active and not self._may_switch_to(sender, stamp, now):
             return
         if stamp == self._stamp:
-            self._source = sender  # it has the same image: what has come of it is kept
+            self._source = sender  # the same snapshot: the parts received so far remain valid
         else:
-            self._begin(sender, stamp, size)
-        self._taken_at, self._rival_since = now, None
-        self._ask(now)
+            self._start(sender, stamp, size)
+        self._last_part_at, self._other_offer_since = now, None
+        self._request_part(now)
 
-    def _may_take_over(self, sender: str, stamp: Stamp, now: float) -> bool:
+    def _may_switch_to(self, sender: str, stamp: Stamp, now: float) -> bool:
         if sender == self._source:
             return stamp != self._stamp
-        if self._rival_since is None:
-            self._rival_since = now
-        return self.stalled(now) and now - self._rival_since >= RIVAL_S
+        if self._other_offer_since is None:
+            self._other_offer_since = now
+        return self.stalled(now) and now - self._other_offer_since >= FAILOVER_DELAY_S
 
-    def _begin(self, sender: str, stamp: Stamp, size: int) -> None:
-        if not 0 < size <= ENCODED_MOST:
-            raise MessageError(f"snapshot: {size} bytes")
+    def _start(self, sender: str, stamp: Stamp, size: int) -> None:
+        if not 0 < size <= MAX_ENCODED_BYTES:
+            raise MessageError(f"snapshot size of {size} bytes is not allowed")
         self.stop()
         self._source, self._stamp, self._size = sender, stamp, size
 
     def connection_opened(self, address: str, now: float) -> None:
-        """The source can be reached again: go on with it."""
+        """Repeats the request if the source is reachable again."""
         if address == self._source:
-            self._wait_s = AGAIN_S
-            self._ask(now)
+            self._retry_s = RETRY_S
+            self._request_part(now)
 
     def tick(self, now: float) -> None:
-        """Ask again for a part that has not come, with growing patience."""
-        if not self.active or now < self._again_at:
+        """Repeats an unanswered request at growing intervals, and gives up once MAX_RETRY_S is reached."""
+        if not self.active or now < self._retry_at:
             return
-        if self._wait_s >= AGAIN_MOST_S:
-            self.stop()  # the source is gone: whoever tells of a newer state is asked next
+        if self._retry_s >= MAX_RETRY_S:
+            self.stop()  # the source is down: the next replica that announces a newer state is asked
             return
-        self._wait_s = min(AGAIN_MOST_S, AGAIN_GROWTH * self._wait_s)
-        self._ask(now)
+        self._retry_s = min(MAX_RETRY_S, RETRY_GROWTH * self._retry_s)
+        self._request_part(now)
 
     def connection_lost(self, address: str) -> None:
-        """What was under way may be lost: ask again at the next tick."""
+        """Makes the next tick repeat the request, which may have been lost with the connection."""
         if address == self._source:
-            self._again_at, self._wait_s = 0.0, AGAIN_S
+            self._retry_at, self._retry_s = 0.0, RETRY_S
 
-    def _ask(self, now: float) -> None:
-        self._again_at = now + self._wait_s
+    def _request_part(self, now: float) -> None:
+        self._retry_at = now + self._retry_s
         self._send(self._source, SnapshotRequest(self._stamp, len(self._buffer)))
--- a/tests/cluster/mutations.py
+++ b/tests/cluster/mutations.py
@@ -95,7 +95,7 @@
         "pebbledrift/chain/link.py",
         "        self.log.append(entry)\n        self._sync((entry,))\n        return entry",
         "        self.log.append(entry)\n        self._sync((entry,))\n"
-        "        self._committed(self.log.commit(entry.sequence))\n        return entry",
+        "        self._on_entries_committed(self.log.commit(entry.sequence))\n        return entry",
         WORST,
         "cut_off or explored or drawn",
     ),
@@ -126,7 +126,7 @@
     Mutation(
         "questions are answered once while the answer may be under way",
         "pebbledrift/chain/link.py",
-        "if message == self._answered and self._may_be_under_way(entries, JOIN_AGAIN_S):",
+        "if message == self._answered_join and self._may_be_in_transit(entries, JOIN_RETRY_S):",
         "if False:",
         WORST,
         "answered_once",
@@ -259,7 +259,7 @@
     Mutation(
         "a transfer goes on where it was",
         "pebbledrift/chain/transfer.py",
-        "        if address == self._source:\n            self._again_at, self._wait_s = 0.0, AGAIN_S",
+        "        if address == self._source:\n            self._retry_at, self._retry_s = 0.0, RETRY_S",
         "        if address == self._source:\n            self.stop()",
         WORST,
         "broken_off",
@@ -267,7 +267,7 @@
     Mutation(
         "what is under way is not sent again",
         "pebbledrift/chain/transfer.py",
-        "if not self.active or now < self._again_at:",
+        "if not self.active or now < self._retry_at:",
         "if not self.active:",
         WORST,
         "hundreds",
@@ -298,7 +298,7 @@
     Mutation(
         "calls are sent again only once they may have arrived",
         "pebbledrift/chain/requests.py",
-        "    return len(call.order.body) / SLOWEST_LINK if call.order is not None else 0.0",
+        "    return len(call.order.body) / SLOWEST_LINK_BYTES_PER_S if call.order is not None else 0.0",
         "    return 0.0",
         WORST,
         "large_call",
@@ -306,7 +306,7 @@
     Mutation(
         "what was sent into a broken connection is sent again at once",
         "pebbledrift/chain/link.py",
-        '        if node == self._neighbour(1):\n            self._sent_at = float("-inf")',
+        '        if node == self._neighbour(1):\n            self._entries_sent_at = float("-inf")',
         "        return",
         WORST,
         "broken_connection",
@@ -314,7 +314,7 @@
     Mutation(
         "a source of a snapshot that is gone is given up",
         "pebbledrift/chain/transfer.py",
-        "        return self.stalled(now) and now - self._rival_since >= RIVAL_S",
+        "        return self.stalled(now) and now - self._other_offer_since >= FAILOVER_DELAY_S",
         "        return False",
         WORST,
         "source_is_gone",
