--- a/pebbledrift/chain/files.py
+++ b/pebbledrift/chain/files.py
@@ -1,4 +1,4 @@
-"""The file operations that a replica's disk needs; a model of a disk can stand in for the system's."""
+"""File operations used by durable storage, as an interface that tests can implement in memory."""
 
 from __future__ import annotations
 
@@ -8,94 +8,94 @@
 
 
 class Files(Protocol):
-    """A disk. Every call may wait, and raises OSError where the disk refuses."""
+    """File operations. Every call may block, and raises OSError if the operation fails."""
 
     def read(self, path: Path) -> bytes:
-        """The bytes of a file; none where there is no file."""
+        """Returns the content of a file, empty if the file does not exist."""
 
-    def sizes(self, folder: Path) -> dict[Path, int]:
-        """The files of a folder with their sizes; none where there is no folder."""
+    def sizes(self, directory: Path) -> dict[Path, int]:
+        """Returns the files of a directory with their sizes in bytes, none if it does not exist."""
 
-    def make_folder(self, folder: Path) -> None:
-        """Have a folder, with those above it."""
+    def make_directory(self, directory: Path) -> None:
+        """Creates a directory and its parents if they do not exist."""
 
     def open(self, path: Path, truncate: bool = False) -> int:
-        """Open a file for reading and writing; one that is truncated is made where there is none."""
+        """Opens a file for reading and writing; `truncate` empties it, or creates it if it does not exist."""
 
     def write(self, descriptor: int, data: bytes, position: int) -> None:
-        """Write all bytes at a position."""
+        """Writes all bytes at a position."""
 
     def truncate(self, descriptor: int, size: int) -> None:
-        """Cut a file to a size."""
+        """Sets the size of a file."""
 
     def sync(self, descriptor: int) -> None:
-        """Make what a file holds last."""
+        """Makes the content of a file durable."""
 
-    def sync_folder(self, folder: Path) -> None:
-        """Make the names in a folder last."""
+    def sync_directory(self, directory: Path) -> None:
+        """Makes the entries of a directory durable."""
 
     def remove(self, path: Path) -> None:
-        """Remove a file."""
+        """Removes a file."""
 
     def close(self, descriptor: int) -> None:
-        """Let go of a file."""
+        """Closes a file."""
 
 
 class SystemFiles:
-    """The files of the operating system."""
+    """File operations of the operating system."""
 
     def read(self, path: Path) -> bytes:
-        """The bytes of a file; none where there is no file."""
+        """Returns the content of a file, empty if the file does not exist."""
         try:
             return path.read_bytes()
         except FileNotFoundError:
             return b""
 
-    def sizes(self, folder: Path) -> dict[Path, int]:
-        """The files of a folder with their sizes; none where there is no folder."""
+    def sizes(self, directory: Path) -> dict[Path, int]:
+        """Returns the files of a directory with their sizes in bytes, none if it does not exist."""
         try:
-            return {path: path.stat().st_size for path in folder.iterdir()}
+            return {path: path.stat().st_size for path in directory.iterdir()}
         except FileNotFoundError:
             return {}
 
-    def make_folder(self, folder: Path) -> None:
-        """Have a folder, with those above it."""
-        folder.mkdir(parents=True, exist_ok=True)
+    def make_directory(self, directory: Path) -> None:
+        """Creates a directory and its parents if they do not exist."""
+        directory.mkdir(parents=True, exist_ok=True)
 
     def open(self, path: Path, truncate: bool = False) -> int:
-        """Open a file for reading and writing; one that is truncated is made where there is none."""
+        """Opens a file for reading and writing; `truncate` empties it, or creates it if it does not exist."""
         return os.open(path, os.O_RDWR | (os.O_CREAT | os.O_TRUNC if truncate else 0), 0o600)
 
     def write(self, descriptor: int, data: bytes, position: int) -> None:
-        """Write all bytes at a position."""
-        view = memoryview(data)
-        while view:
-            written = os.pwrite(descriptor, view, position)
-            position += written
-            view = view[written:]
+        """Writes all bytes at a position."""
+        remaining = memoryview(data)
+        while remaining:
+            count = os.pwrite(descriptor, remaining, position)
+            position += count
+            remaining = remaining[count:]
 
     def truncate(self, descriptor: int, size: int) -> None:
-        """Cut a file to a size."""
+        """Sets the size of a file."""
         os.ftruncate(descriptor, size)
 
     def sync(self, descriptor: int) -> None:
-        """Make what a file holds last."""
+        """Makes the content of a file durable."""
         os.fsync(descriptor)
 
-    def sync_folder(self, folder: Path) -> None:
-        """Make the names in a folder last."""
-        descriptor = os.open(folder, os.O_RDONLY)
+    def sync_directory(self, directory: Path) -> None:
+        """Makes the entries of a directory durable."""
+        descriptor = os.open(directory, os.O_RDONLY)
         try:
             os.fsync(descriptor)
         finally:
             os.close(descriptor)
 
     def remove(self, path: Path) -> None:
-        """Remove a file."""
+        """Removes a file."""
         path.unlink()
 
     def close(self, descriptor: int) -> None:
-        """Let go of a file."""
+        """Closes a file."""
         os.close(descriptor)
 
 
--- a/pebbledrift/chain/log.py
+++ b/pebbledrift/chain/log.py
@@ -1,4 +1,4 @@
-"""The replicated log of one replica: entries behind a committed state, found by their stamps."""
+"""The replicated log of one replica: a committed state, and the entries around and after it."""
 
 from __future__ import annotations
 
@@ -8,118 +8,123 @@
 from pebbledrift.chain.messages import NO_STAMP, Entry, Snapshot, Stamp
 from pebbledrift.control.orders import Check, ConfigurationState
 
-KEPT_BYTES = 2 * 1024 * 1024  # bodies of committed entries that are kept for others that lag
-KEPT_ENTRIES = 256
-SEEN_MOST = 512
+MAX_RETAINED_BYTES = 2 * 1024 * 1024  # bodies of entries retained so that lagging replicas can catch up
+MAX_RETAINED_ENTRIES = 256
+MAX_TRACKED_SEQUENCES = 512
 
 
 class PendingEntries:
-    """For how long the oldest entry has been in a log without being committed there."""
+    """Tracks how long the oldest uncommitted entry has been in a log."""
 
     def __init__(self) -> None:
-        self._seen: deque[tuple[int, float]] = deque()  # sequence, and when it was in the log at the latest
+        self._uncommitted: deque[tuple[int, float]] = deque()  # sequence, and time by which it was in the log
 
     def note(self, last: int, committed: int, now: float) -> None:
-        """Follow the log; entries that were there before a start have `now` in the infinite past."""
-        newer = last > committed and (not self._seen or last > self._seen[-1][0])
-        if newer and len(self._seen) < SEEN_MOST:
-            self._seen.append((last, now))
-        while self._seen and self._seen[0][0] <= committed:
-            self._seen.popleft()
+        """Records the last and the committed sequence of the log.
+
+        For entries that were in the log before the process started `now` is negative infinity.
+        """
+        is_new = last > committed and (not self._uncommitted or last > self._uncommitted[-1][0])
+        if is_new and len(self._uncommitted) < MAX_TRACKED_SEQUENCES:
+            self._uncommitted.append((last, now))
+        while self._uncommitted and self._uncommitted[0][0] <= committed:
+            self._uncommitted.popleft()
         if last <= committed:
-            self._seen.clear()
+            self._uncommitted.clear()
 
     def age(self, now: float) -> float:
-        """Seconds; 0 where all is committed."""
-        return now - self._seen[0][1] if self._seen else 0.0
+        """Age of the oldest uncommitted entry in seconds; 0 if all are committed."""
+        return now - self._uncommitted[0][1] if self._uncommitted else 0.0
 
 
-class InvariantBroken(AssertionError):
-    """The program is wrong: going on could lose what was acknowledged."""
+class InvariantViolation(AssertionError):
+    """A bug was detected: continuing could lose acknowledged orders."""
 
 
-def unchecked(config: object) -> None:
-    """Orders in the log were checked when they were judged."""
+def accept_any_config(config: object) -> None:
+    """Accepts any configuration: the head checked the orders before it logged them."""
 
 
 class ReplicatedLog:
-    """Entries in sequence. Those up to `committed` are applied to `state` and never change again."""
+    """Entries by sequence. Those up to `committed` are applied to `state` and never change."""
 
     def __init__(self) -> None:
-        self.state = ConfigurationState(unchecked)
+        self.state = ConfigurationState(accept_any_config)
         self.committed: Stamp = NO_STAMP
-        self.base: Stamp = NO_STAMP  # the entry before the first that is kept
+        self.base: Stamp = NO_STAMP  # the entry before the first retained one
         self.entries: list[Entry] = []
 
     @property
     def last(self) -> Stamp:
-        """The newest entry's stamp."""
+        """The stamp of the newest entry."""
         return self.entries[-1].stamp if self.entries else self.base
 
     def _index(self, sequence: int) -> int:
         return sequence - self.base.sequence - 1
 
     def get(self, sequence: int) -> Entry | None:
-        """The entry at a sequence, if it is kept."""
+        """The entry at a sequence, if it is retained."""
         index = self._index(sequence)
         return self.entries[index] if 0 <= index < len(self.entries) else None
 
     def holds(self, stamp: Stamp) -> bool:
-        """Whether the entry of this stamp is in the log, or stands right before the first that is kept."""
+        """Whether the entry with this stamp is retained, or directly precedes the first retained one."""
         if stamp == self.base:
             return True
         entry = self.get(stamp.sequence)
         return entry is not None and entry.stamp == stamp
 
     def after(self, sequence: int, until: int | None = None) -> tuple[Entry, ...]:
-        """Kept entries behind a sequence, up to and with another."""
+        """The retained entries after `sequence`, up to and including `until` if given."""
         start = max(0, self._index(sequence + 1))
         end = len(self.entries) if until is None else max(0, self._index(until + 1))
         return tuple(self.entries[start:end])
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry."""
+        """Appends the next entry; raises InvariantViolation if it does not follow the last one."""
         if entry.sequence != self.last.sequence + 1 or entry.epoch < self.last.epoch:
-            raise InvariantBroken(f"entry {entry.stamp} after {self.last}")
+            raise InvariantViolation(f"entry {entry.stamp} does not follow the last entry {self.last}")
         self.entries.append(entry)
 
     def truncate(self, sequence: int) -> None:
-        """Drop the entries behind a sequence; committed ones never go."""
+        """Drops the entries after a sequence; raises InvariantViolation if one of them is committed."""
         if sequence < self.committed.sequence:
-            raise InvariantBroken(f"truncation to {sequence} behind committed {self.committed}")
+            raise InvariantViolation(
+                f"truncation after sequence {sequence} would drop entries up to committed {self.committed}"
+            )
         del self.entries[max(0, self._index(sequence + 1)) :]
 
     def commit(self, sequence: int) -> list[Entry]:
-        """Apply the entries up to a sequence; returns those that were not applied before."""
-        fresh = []
+        """Applies the entries up to a sequence; returns the newly committed ones."""
+        newly_committed = []
         while self.committed.sequence < min(sequence, self.last.sequence):
             entry = self.get(self.committed.sequence + 1)
             if entry is None:
-                raise InvariantBroken(f"no entry after {self.committed}")
+                raise InvariantViolation(f"the entry after committed {self.committed} is missing")
             if entry.order is not None:
                 self.state.apply(entry.order)
             self.committed = entry.stamp
-            fresh.append(entry)
-        self._forget()
-        return fresh
+            newly_committed.append(entry)
+        self._trim()
+        return newly_committed
 
-    def _forget(self) -> None:
-        """Bound what is kept of committed entries."""
-        kept = sum(len(entry.order.body) for entry in self.entries if entry.order is not None)
+    def _trim(self) -> None:
+        """Drops the oldest committed entries that exceed the retention limits."""
+        retained_bytes = sum(len(entry.order.body) for entry in self.entries if entry.order is not None)
         while self.entries and self.entries[0].sequence <= self.committed.sequence:
-            if kept <= KEPT_BYTES and len(self.entries) <= KEPT_ENTRIES:
+            if retained_bytes <= MAX_RETAINED_BYTES and len(self.entries) <= MAX_RETAINED_ENTRIES:
                 return
             first = self.entries.pop(0)
             self.base = first.stamp
-            kept -= 0 if first.order is None else len(first.order.body)
+            retained_bytes -= 0 if first.order is None else len(first.order.body)
 
     def snapshot(self) -> Snapshot:
-        """The committed state."""
+        """A snapshot of the committed state."""
         config, taken = self.state.dump()
         return Snapshot(self.committed, config, taken)
 
     def restore(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
-        """Take a committed state over, and entries behind it."""
+        """Replaces the log by a committed state and the entries after it."""
         self.state.restore(snapshot.config, snapshot.taken)
         self.committed = self.base = Stamp(*snapshot.stamp)
         self.entries = []
@@ -127,7 +132,7 @@
             self.append(entry)
 
     def speculative(self, check: Check) -> ConfigurationState:
-        """The state with all entries, committed or not; orders that follow are checked."""
+        """A copy of the state with the uncommitted entries applied; `check` validates later orders."""
         state = self.state.copy(check)
         for entry in self.after(self.committed.sequence):
             if entry.order is not None:
--- a/pebbledrift/chain/slots.py
+++ b/pebbledrift/chain/slots.py
@@ -1,4 +1,4 @@
-"""Two files written in turn: the older one is written over, so that there always is a whole value."""
+"""Two files written alternately: the older one is overwritten, so that one complete value always exists."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 SLOTS = ("a", "b")
 
 
-def header(generation: int) -> bytes:
-    """What a file of this generation begins with."""
+def encode_header(generation: int) -> bytes:
+    """The file header of a generation."""
     return HEADER.pack(MAGIC, generation)
 
 
-def generation_of(data: bytes) -> int | None:
-    """The generation that a file begins with."""
+def decode_generation(data: bytes) -> int | None:
+    """The generation in a file's header, or None if the header is not valid."""
     if len(data) < HEADER.size:
         return None
     magic, generation = HEADER.unpack_from(data)
     return int(generation) if magic == MAGIC else None
 
 
-def block(value: Any, generation: int) -> bytes:
-    """A value behind its length and checksum; the checksum holds for one generation only."""
+def encode_block(value: Any, generation: int) -> bytes:
+    """Encodes a value with length and checksum; the checksum is valid in one generation only."""
     body = codec.encode(value)
     return BLOCK.pack(len(body), zlib.crc32(body, generation & 0xFFFFFFFF)) + body
 
 
-def blocks(data: bytes, generation: int) -> Iterable[tuple[Any, int]]:
-    """The values of a file, each with where it ends, up to the first that is torn or damaged."""
+def decode_blocks(data: bytes, generation: int) -> Iterable[tuple[Any, int]]:
+    """Yields the values of a file with their end positions, up to the first torn or damaged one."""
     position = HEADER.size
     while position + BLOCK.size <= len(data):
         size, checksum = BLOCK.unpack_from(data, position)
@@ -54,35 +54,35 @@
 
 
 class SlotPair:
-    """Two slots of one name in a folder."""
+    """Two slot files with one base name in a directory."""
 
-    def __init__(self, folder: Path, name: str, files: Files = SYSTEM_FILES) -> None:
-        self.folder, self.name, self._files = folder, name, files
-        self.generation = 0  # of the newest whole slot; 0 before the first
-        self.bytes = 0  # its size
+    def __init__(self, directory: Path, name: str, files: Files = SYSTEM_FILES) -> None:
+        self.directory, self.name, self._files = directory, name, files
+        self.generation = 0  # of the newest complete slot; 0 if there is none
+        self.size_bytes = 0  # size of the newest complete slot
 
     def path(self, generation: int) -> Path:
-        """The file of a generation."""
-        return self.folder / f"{self.name}-{SLOTS[generation % 2]}"
+        """The path of the slot that holds a generation."""
+        return self.directory / f"{self.name}-{SLOTS[generation % 2]}"
 
     def newest(self) -> Any:
-        """The newest whole value, or None."""
+        """Reads the newest complete value; returns None if there is none."""
         value: Any = None
         self.generation = 0
-        for number in range(len(SLOTS)):
-            data = self._files.read(self.path(number))
-            generation = generation_of(data)
+        for index in range(len(SLOTS)):
+            data = self._files.read(self.path(index))
+            generation = decode_generation(data)
             if generation is None or (value is not None and generation < self.generation):
                 continue
-            found = next(iter(blocks(data, generation)), None)
-            if found is not None:
-                value, self.generation, self.bytes = found[0], generation, len(data)
+            first_block = next(iter(decode_blocks(data, generation)), None)
+            if first_block is not None:
+                value, self.generation, self.size_bytes = first_block[0], generation, len(data)
         return value
 
     def write(self, value: Any) -> None:
-        """Write the other slot and sync it; raises OSError, and the present one stays."""
+        """Writes and syncs the other slot; on OSError the current slot stays in use."""
         generation = self.generation + 1
-        data = header(generation) + block(value, generation)
+        data = encode_header(generation) + encode_block(value, generation)
         descriptor = self._files.open(self.path(generation), truncate=True)
         try:
             self._files.write(descriptor, data, 0)
@@ -90,11 +90,11 @@
         finally:
             self._files.close(descriptor)
         if generation <= len(SLOTS):
-            self._files.sync_folder(self.folder)
-        self.generation, self.bytes = generation, len(data)
+            self._files.sync_directory(self.directory)
+        self.generation, self.size_bytes = generation, len(data)
 
     def sync_newest(self) -> None:
-        """Make the slot that was read last: the process that wrote it may have ended before it was synced."""
+        """Syncs the slot that was read: the process that wrote it may have ended before its sync."""
         if self.generation:
             descriptor = self._files.open(self.path(self.generation))
             try:
@@ -103,7 +103,7 @@
                 self._files.close(descriptor)
 
     def erase_next(self) -> None:
-        """Void what a write that failed may have left: it could be whole."""
+        """Truncates the other slot, as a failed write may have left a complete value there."""
         descriptor = self._files.open(self.path(self.generation + 1), truncate=True)
         try:
             self._files.sync(descriptor)
--- a/pebbledrift/chain/storage.py
+++ b/pebbledrift/chain/storage.py
@@ -1,7 +1,7 @@
-"""A replica's disk: two slots written in turn, each with a short log of records behind it.
+"""A replica's durable storage: two slots written alternately, each followed by a short log of records.
 
-Slot and log begin with their generation; whatever does not match its checksum ends the log. A slot is only
-written over once the other one, and all that came after it, is synced.
+Slots and logs start with their generation. The first record with a wrong checksum ends the log. A slot is
+only overwritten once the other one and its log are synced.
 """
 
 from __future__ import annotations
@@ -16,133 +16,137 @@
 from pebbledrift.chain.recovery import Recovered, recover
 from pebbledrift.cluster.errors import StorageError
 
-LOG_MOST = 512 * 1024  # bytes of a log beyond which a slot is written, at least
+MAX_LOG_BYTES = 512 * 1024  # a log longer than this and twice its slot is replaced by a new slot
 
 
 class Storage:
-    """The files of one replica. Every call may wait on the disk: it belongs to one thread."""
-
-    def __init__(self, folder: Path, files: Files = SYSTEM_FILES, log_most: int = LOG_MOST) -> None:
-        self.folder, self._files, self._log_most = folder, files, log_most
-        self._slots = slots.SlotPair(folder, "slot", files)
-        self._doubtful = False  # a slot whose write failed may be whole: nothing may follow the one before
-        self._log = -1
-        self._end = 0  # of what is synced in the log
+    """The files of one replica. Every call may block on the disk; only one thread may use it."""
+
+    def __init__(
+        self, directory: Path, files: Files = SYSTEM_FILES, max_log_bytes: int = MAX_LOG_BYTES
+    ) -> None:
+        self.directory, self._files, self._max_log_bytes = directory, files, max_log_bytes
+        self._slots = slots.SlotPair(directory, "slot", files)
+        # A failed write of the next slot may have left a complete slot there. It must be erased before a
+        # record is added to the current log: a restart would otherwise use that slot and lose the record.
+        self._next_slot_uncertain = False
+        self._log_descriptor = -1
+        self._synced_end = 0  # end of the synced records in the log
 
     @property
     def generation(self) -> int:
-        """The generation of the slot in use."""
+        """The generation of the current slot."""
         return self._slots.generation
 
     def is_empty(self) -> bool:
-        """Whether nothing was ever written here: there is no file that holds more than its header."""
+        """Whether nothing was ever stored: no file is longer than its header. Raises StorageError."""
         try:
-            return all(size <= slots.HEADER.size for size in self._files.sizes(self.folder).values())
+            return all(size <= slots.HEADER.size for size in self._files.sizes(self.directory).values())
         except OSError as error:
-            raise StorageError(f"{self.folder}: {error}") from error
+            raise StorageError(f"{self.directory}: {error}") from error
 
     def discard(self) -> None:
-        """Forget what cannot be read; what cannot be removed either ends the start."""
+        """Removes all files; raises StorageError, which ends the start, if that fails."""
         try:
-            for path in self._files.sizes(self.folder):
+            for path in self._files.sizes(self.directory):
                 self._files.remove(path)
-            self._files.sync_folder(self.folder)
+            self._files.sync_directory(self.directory)
         except OSError as error:
-            raise StorageError(f"{self.folder}: {error}") from error
+            raise StorageError(f"{self.directory}: {error}") from error
 
     def open(self) -> Recovered:
-        """Read what the disk holds, and make ready to write behind it."""
+        """Reads the stored state and opens the log for appending. Raises StorageError."""
         try:
-            self._files.make_folder(self.folder)
+            self._files.make_directory(self.directory)
             image = self._slots.newest()
             self._slots.sync_newest()
             self._check_not_damaged()
             records = self._read_log()
             self._open_log()
         except OSError as error:
-            raise StorageError(f"{self.folder}: {error}") from error
+            raise StorageError(f"{self.directory}: {error}") from error
         return recover(image if isinstance(image, Image) else None, records)
 
     def _log_path(self, generation: int) -> Path:
-        return self.folder / f"log-{slots.SLOTS[generation % 2]}"
+        return self.directory / f"log-{slots.SLOTS[generation % 2]}"
 
     def _check_not_damaged(self) -> None:
-        """Refuse to go on from an older slot where a newer one was in use: promises would be forgotten."""
-        following = self._files.read(self._log_path(self.generation + 1))
-        in_use = slots.generation_of(following) == self.generation + 1
-        if in_use and len(following) > slots.HEADER.size:
-            raise StorageError(f"{self.folder}: the newest slot is damaged")
+        """Raises StorageError if a newer slot was in use: the older one may lack promises made since."""
+        next_log = self._files.read(self._log_path(self.generation + 1))
+        was_used = slots.decode_generation(next_log) == self.generation + 1
+        if was_used and len(next_log) > slots.HEADER.size:
+            raise StorageError(f"{self.directory}: the newest slot is damaged")
 
     def _read_log(self) -> list[Record]:
         data = self._files.read(self._log_path(self.generation))
-        self._end = 0
-        if slots.generation_of(data) != self.generation:
+        self._synced_end = 0
+        if slots.decode_generation(data) != self.generation:
             return []
-        self._end = slots.HEADER.size
+        self._synced_end = slots.HEADER.size
         records = []
-        for record, end in slots.blocks(data, self.generation):
+        for record, end in slots.decode_blocks(data, self.generation):
             records.append(record)
-            self._end = end
+            self._synced_end = end
         return records
 
     def _open_log(self) -> None:
-        if not self._end:
-            self._log = self._begin_log(self.generation)
-            self._end = slots.HEADER.size
+        if not self._synced_end:
+            self._log_descriptor = self._create_log(self.generation)
+            self._synced_end = slots.HEADER.size
             return
-        self._log = self._files.open(self._log_path(self.generation))
-        self._files.truncate(self._log, self._end)
-        self._files.sync(self._log)
+        self._log_descriptor = self._files.open(self._log_path(self.generation))
+        self._files.truncate(self._log_descriptor, self._synced_end)
+        self._files.sync(self._log_descriptor)
 
     @property
-    def wants_slot(self) -> bool:
-        """Whether the log has become long against its slot."""
-        return self._end > max(self._log_most, 2 * self._slots.bytes)
+    def needs_slot(self) -> bool:
+        """Whether the log is longer than both the limit and twice the size of its slot."""
+        return self._synced_end > max(self._max_log_bytes, 2 * self._slots.size_bytes)
 
     def append(self, records: Iterable[Record]) -> None:
-        """Add records to the log and sync them. After an error the same call may be made again."""
-        data = b"".join(slots.block(record, self.generation) for record in records)
+        """Appends records to the log and syncs them. Raises StorageError; the call may then be repeated."""
+        data = b"".join(slots.encode_block(record, self.generation) for record in records)
         try:
-            if self._doubtful:
+            if self._next_slot_uncertain:
                 self._slots.erase_next()
-                self._doubtful = False
-            self._files.truncate(self._log, self._end)  # what an earlier call left half done
-            self._files.write(self._log, data, self._end)
-            self._files.sync(self._log)
+                self._next_slot_uncertain = False
+            self._files.truncate(self._log_descriptor, self._synced_end)  # drops what a failed call left
+            self._files.write(self._log_descriptor, data, self._synced_end)
+            self._files.sync(self._log_descriptor)
         except OSError as error:
-            raise StorageError(f"log: {error}") from error
-        self._end += len(data)
+            raise StorageError(f"cannot append to the log: {error}") from error
+        self._synced_end += len(data)
 
     def write_slot(self, image: Image) -> None:
-        """Write the other slot and begin its log. The present ones stay whole until both are synced."""
+        """Writes the other slot and starts its log. On StorageError the current pair stays in use."""
         try:
-            log = self._begin_log(self.generation + 1)
+            descriptor = self._create_log(self.generation + 1)
             try:
-                self._doubtful = True
+                self._next_slot_uncertain = True
                 self._slots.write(image)
-                self._doubtful = False
+                self._next_slot_uncertain = False
             except OSError:
-                self._files.close(log)
+                self._files.close(descriptor)
                 raise
         except OSError as error:
-            raise StorageError(f"slot: {error}") from error
+            raise StorageError(f"cannot write the slot: {error}") from error
         with contextlib.suppress(OSError):
-            self._files.close(self._log)
-        self._log, self._end = log, slots.HEADER.size
+            self._files.close(self._log_descriptor)
+        self._log_descriptor, self._synced_end = descriptor, slots.HEADER.size
 
-    def _begin_log(self, generation: int) -> int:
-        log = self._files.open(self._log_path(generation), truncate=True)
+    def _create_log(self, generation: int) -> int:
+        descriptor = self._files.open(self._log_path(generation), truncate=True)
         try:
-            self._files.write(log, slots.header(generation), 0)
-            self._files.sync(log)
-            self._files.sync_folder(self.folder)
+            self._files.write(descriptor, slots.encode_header(generation), 0)
+            self._files.sync(descriptor)
+            self._files.sync_directory(self.directory)
         except OSError:
-            self._files.close(log)
+            self._files.close(descriptor)
             raise
-        return log
+        return descriptor
 
     def close(self) -> None:
-        """Let go of the files."""
-        if self._log >= 0:
-            self._files.close(self._log)
-            self._log = -1
+        """Closes the log."""
+        if self._log_descriptor >= 0:
+            self._files.close(self._log_descriptor)
+            self._log_descriptor = -1
--- a/pebbledrift/keeper/disk.py
+++ b/pebbledrift/keeper/disk.py
@@ -37,7 +37,7 @@
 
     def wants_image(self) -> bool:
         """Whether a slot should be written; answers so once until it is."""
-        if self._slot_asked or not self._storage.wants_slot:
+        if self._slot_asked or not self._storage.needs_slot:
             return False
         self._slot_asked = True
         return True
--- a/pebbledrift/keeper/service.py
+++ b/pebbledrift/keeper/service.py
@@ -76,7 +76,7 @@
             lambda: self.replica.current(self.loop.time()),
         )
         self._gossip: GossipService | None = None
-        store = InstanceStore(self.storage.folder) if self.storage is not None else None
+        store = InstanceStore(self.storage.directory) if self.storage is not None else None
         self.workers = WorkerDesk(
             self.network,
             boot.heartbeat_ms / 1000,
--- a/tests/cluster/mutations.py
+++ b/tests/cluster/mutations.py
@@ -330,7 +330,7 @@
     Mutation(
         "a slot whose write failed is voided",
         "pebbledrift/chain/storage.py",
-        "                self._doubtful = True\n",
+        "                self._next_slot_uncertain = True\n",
         "",
         "tests/cluster/test_storage.py",
         "failed",
--- a/tests/cluster/simulated_network.py
+++ b/tests/cluster/simulated_network.py
@@ -1,4 +1,4 @@
-"""Links between replicas on simulated time: delay, bandwidth, cuts, and messages that come late."""
+"""Simulated links between replicas: delay, bandwidth, loss, cuts and late messages."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from pebbledrift.cluster import codec
 from pebbledrift.cluster.transport import SILENCE_S
 
-At = Callable[[float, Callable[[], None]], None]
+Schedule = Callable[[float, Callable[[], None]], None]
 Pair = tuple[str, str]
 
 
 class Packet(NamedTuple):
-    """A message on its way, and the process that it was sent to."""
+    """A message in transit, and the process that it was sent to."""
 
     data: bytes
     process: int
@@ -26,23 +26,23 @@
 
 @dataclass
 class Link:
-    """One way between two machines."""
+    """One direction between two machines."""
 
     bulk_free_at: float = 0.0
     urgent_free_at: float = 0.0
     cut_since: float | None = None
-    broken: bool = False  # the connection has been given up
-    generation: int = 0  # of the connection: what was sent on one before does not arrive
-    waiting: deque[Packet] = field(default_factory=deque)  # sent since the cut, or held up
+    broken: bool = False  # the connection is closed
+    generation: int = 0  # of the connection: messages sent on an earlier one do not arrive
+    waiting: deque[Packet] = field(default_factory=deque)  # sent while the link is cut or held
     held: bool = False
 
 
 class Network:
-    """All links. `deliver` gets what arrives; `opened` and `lost` tell of connections."""
+    """All links. `deliver` receives messages; `opened` and `lost` report connection changes."""
 
     def __init__(
         self,
-        at: At,
+        schedule: Schedule,
         now: Callable[[], float],
         process_of: Callable[[str], int],
         deliver: Callable[[str, str, bytes, int], None],
@@ -50,7 +50,7 @@
         lost: Callable[[str, str], None],
         seed: int,
     ) -> None:
-        self._at, self._now, self._process_of = at, now, process_of
+        self._schedule, self._now, self._process_of = schedule, now, process_of
         self._deliver, self._opened, self._lost = deliver, opened, lost
         self._random = random.Random(seed)
         self._links: dict[Pair, Link] = {}
@@ -64,7 +64,7 @@
         data = codec.encode(message)
         if sender == receiver:
             process = self._process_of(receiver)
-            self._at(self._now(), lambda: self._deliver(sender, receiver, data, process))
+            self._schedule(self._now(), lambda: self._deliver(sender, receiver, data, process))
             return
         if self._random.random() < self.loss:
             return
@@ -78,17 +78,17 @@
         self._transmit(sender, receiver, link, packet)
 
     def _transmit(self, sender: str, receiver: str, link: Link, packet: Packet) -> None:
-        """Messages keep their order; urgent ones pass the others, but for the fragment under way."""
+        """Keeps messages in order, but urgent ones overtake others except for the fragment being sent."""
         arrival = self._now() + self._random.uniform(0.0005, 0.002)
         if self.bytes_per_s is not None:
-            arrival += self._wait_s(link, packet, self.bytes_per_s)
+            arrival += self._transmission_s(link, packet, self.bytes_per_s)
         if not packet.urgent:
             arrival = max(arrival, link.bulk_free_at)
             link.bulk_free_at = arrival
         generation = link.generation
-        self._at(arrival, lambda: self._arrive(sender, receiver, link, packet, generation))
+        self._schedule(arrival, lambda: self._arrive(sender, receiver, link, packet, generation))
 
-    def _wait_s(self, link: Link, packet: Packet, rate: float) -> float:
+    def _transmission_s(self, link: Link, packet: Packet, rate: float) -> float:
         now, size = self._now(), len(codec.frame(codec.decode(packet.data)))
         if packet.urgent:
             fragment = min(max(0.0, link.bulk_free_at - now), codec.FRAGMENT_BYTES / rate)
@@ -107,17 +107,17 @@
             return
         self._deliver(sender, receiver, packet.data, packet.process)
 
-    # what befalls the links
+    # faults
 
     def cut(self, pairs: Iterable[Pair]) -> None:
-        """What is sent waits; a connection that stays cut for long is given up with what waits."""
+        """Queues messages on cut links. After SILENCE_S the connection closes and the queue is lost."""
         for sender, receiver in pairs:
             link = self.link(sender, receiver)
             if sender != receiver and link.cut_since is None:
                 since = link.cut_since = self._now()
-                self._at(since + SILENCE_S, lambda s=sender, r=receiver, t=since: self._give_up(s, r, t))  # type: ignore[misc]
+                self._schedule(since + SILENCE_S, lambda s=sender, r=receiver, t=since: self._close(s, r, t))  # type: ignore[misc]
 
-    def _give_up(self, sender: str, receiver: str, since: float) -> None:
+    def _close(self, sender: str, receiver: str, since: float) -> None:
         link = self.link(sender, receiver)
         if link.cut_since == since:
             link.broken = True
@@ -134,21 +134,21 @@
                 link.broken = False
                 self._opened(sender, receiver)
             elif not link.held:
-                self._release(sender, receiver, link)
+                self._send_waiting(sender, receiver, link)
 
     def hold(self, sender: str, receiver: str, seconds: float) -> None:
-        """What was sent arrives late, behind what is sent on a newer connection meanwhile."""
+        """Delays messages, so that they arrive after later messages of a newer connection."""
         link = self.link(sender, receiver)
         link.held = True
 
         def renew() -> None:
             old, link.waiting, link.held = link.waiting, deque(), False
-            self._at(self._now() + seconds, lambda: self._deliver_late(sender, receiver, old))
+            self._schedule(self._now() + seconds, lambda: self._deliver_late(sender, receiver, old))
 
-        self._at(self._now() + seconds / 2, renew)
+        self._schedule(self._now() + seconds / 2, renew)
 
     def reset(self, sender: str, receiver: str, seconds: float) -> None:
-        """A connection ends with all that is on it, and is there again after a while."""
+        """Closes a connection, loses the messages on it, and opens a new one after a delay."""
         link = self.link(sender, receiver)
         if link.cut_since is not None:
             return
@@ -163,19 +163,19 @@
                 link.broken = False
                 self._opened(sender, receiver)
 
-        self._at(self._now() + seconds, renew)
+        self._schedule(self._now() + seconds, renew)
 
     def _deliver_late(self, sender: str, receiver: str, packets: deque[Packet]) -> None:
         for packet in packets:
             self._deliver(sender, receiver, packet.data, packet.process)
 
-    def _release(self, sender: str, receiver: str, link: Link) -> None:
+    def _send_waiting(self, sender: str, receiver: str, link: Link) -> None:
         waiting, link.waiting = link.waiting, deque()
         for packet in waiting:
             self._transmit(sender, receiver, link, packet)
 
     def restarted(self, address: str) -> None:
-        """All connections of a machine are new."""
+        """Replaces all connections of a restarted machine."""
         for (sender, receiver), link in self._links.items():
             if address in (sender, receiver):
                 link.waiting.clear()
--- a/tests/cluster/simulation.py
+++ b/tests/cluster/simulation.py
@@ -1,4 +1,4 @@
-"""Replicas on simulated time, on disks and links that fail: the real replica, over the real storage."""
+"""Simulates a cluster: real replicas and storage on simulated time, with failing disks and links."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 TICK_S = 0.02
 SYNC_S = 0.002
-RETRY_S = 0.2  # a write that the disk refuses is tried again
-CONNECT_S = 0.05  # after a start the others are connected to
-LOG_MOST = 4096  # slots are written often: what is rare in service comes in every play
-FOLDER = Path("disk")
+RETRY_S = 0.2  # delay before a failed write is repeated
+CONNECT_S = 0.05  # delay between a start and the connections to the others
+MAX_LOG_BYTES = 4096  # small, so that every scenario writes slots, which are rare in production
+DIRECTORY = Path("disk")
 TAKEN = (Verdict.TAKEN, Verdict.TAKEN_BEFORE)
 
 
 @dataclass
 class Disk:
-    """A machine's disk, and when it answers again."""
+    """A machine's disk, and the time until which it does not respond."""
 
     files: SimulatedFiles
     stalled_until: float = 0.0
@@ -42,25 +42,25 @@
 
 @dataclass(eq=False)
 class Process:
-    """One start of a keeper."""
+    """One process of a keeper."""
 
     address: str
     incarnation: int
     replica: Replica
     storage: Storage | None
-    queue: deque[Write | Image] = field(default_factory=deque)  # what the disk has to do
-    working: bool = False
-    slot_asked: bool = False
+    queue: deque[Write | Image] = field(default_factory=deque)  # pending disk operations
+    busy: bool = False
+    slot_requested: bool = False
     frozen_until: float = 0.0
-    inbox: deque[Callable[[], None]] = field(default_factory=deque)  # what came while it stood still
+    inbox: deque[Callable[[], None]] = field(default_factory=deque)  # events received while frozen
 
 
 @dataclass
 class Call:
-    """One order or read and what became of it."""
+    """One order or read, and its outcome."""
 
     order: Order | None
-    made: float
+    started_at: float
     at: str
     ended: float | None = None
     judgement: Judgement | None = None
@@ -68,7 +68,7 @@
 
 
 class Cluster:
-    """Replicas by address, with everything that may befall them."""
+    """Replicas by address, with the faults that can be injected."""
 
     def __init__(
         self,
@@ -86,9 +86,9 @@
         self.diskless = set(diskless)
         self.disks: dict[str, Disk] = {}
         self.processes: dict[str, Process] = {}
-        self.loses: Callable[[Any], bool] = lambda message: False  # messages that do not arrive
+        self.is_lost: Callable[[Any], bool] = lambda message: False  # whether a message is lost
         self.calls: list[Call] = []
-        self.committed: dict[int, Entry] = {}  # by sequence: what any replica has committed
+        self.committed: dict[int, Entry] = {}  # by sequence: entries that any replica has committed
         self.on_tick: Callable[[Process], None] = lambda process: None
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._number = 0
@@ -109,12 +109,12 @@
 
     @property
     def replicas(self) -> dict[str, Replica]:
-        """The replicas whose processes run."""
+        """The replicas of running processes."""
         return {address: process.replica for address, process in self.processes.items()}
 
     @property
     def loss(self) -> float:
-        """The share of messages that are lost."""
+        """The fraction of messages that are lost."""
         return self.network.loss
 
     @loss.setter
@@ -147,7 +147,7 @@
             incarnation=self._incarnation,
             eligible=address not in self.diskless,
             tolerated=self.tolerated,
-            contacts=self.seeds if founder else tuple(self.processes) or self.seeds,  # as the operator's list
+            contacts=self.seeds if founder else tuple(self.processes) or self.seeds,  # as an operator's list
             seed=self._incarnation,
             catch_up_s=self.catch_up_s,
         )
@@ -169,14 +169,15 @@
         disk = self.disks.get(address)
         if disk is None:
             disk = self.disks[address] = Disk(SimulatedFiles(self.random.randrange(2**32)))
-        full, disk.files.full = disk.files.full, False  # it would end and be started until there is room
-        opened = open_disk(Storage(FOLDER, disk.files, LOG_MOST))
+        # A keeper on a full disk restarts until there is space, so the start itself sees a disk with space.
+        full, disk.files.full = disk.files.full, False
+        opened = open_disk(Storage(DIRECTORY, disk.files, MAX_LOG_BYTES))
         disk.files.full = full
         return opened
 
     def _connect(self, process: Process) -> None:
         for other in list(self.processes):
-            if self._runs(process) and other != process.address:
+            if self._is_running(process) and other != process.address:
                 self._opened(other, process.address)
                 self._opened(process.address, other)
 
@@ -184,7 +185,7 @@
         process = self.processes.get(address)
         return process.incarnation if process is not None else 0
 
-    def _runs(self, process: Process) -> bool:
+    def _is_running(self, process: Process) -> bool:
         return self.processes.get(process.address) is process
 
     def kill(self, address: str, power: bool = False) -> None:
@@ -193,19 +194,19 @@
         if disk is None:
             return
         if process is not None:
-            self._end_in_the_middle(process, disk)
+            self._interrupt_write(process, disk)
         if power:
             disk.files.lose_power()
         for other in list(self.processes):
             self._lost(other, address)
 
-    def _end_in_the_middle(self, process: Process, disk: Disk) -> None:
-        """What the disk was doing is done in part."""
+    def _interrupt_write(self, process: Process, disk: Disk) -> None:
+        """Performs the pending disk operation up to a random step."""
         if process.storage is None or not process.queue:
             return
         disk.files.power_fails_at = self.random.randrange(6)
         with contextlib.suppress(PowerLost, StorageError):
-            self._work(process.storage, process.queue[0])
+            self._perform(process.storage, process.queue[0])
         disk.files.power_fails_at = None
 
     def wipe(self, address: str) -> None:
@@ -213,20 +214,20 @@
         self.disks.pop(address, None)
 
     def leave(self, address: str) -> None:
-        """SIGTERM: the process ends once the others go on without it, at the latest after 3 s."""
+        """Simulates SIGTERM: the process ends once the others continue without it, or after 3 s."""
         process = self.processes[address]
         process.replica.leaving = True
-        begun = self.now
+        started_at = self.now
 
-        def look() -> None:
-            if not self._runs(process):
+        def end_if_possible() -> None:
+            if not self._is_running(process):
                 return
-            if process.replica.may_leave or self.now - begun > 3.0:
+            if process.replica.may_leave or self.now - started_at > 3.0:
                 self.kill(address)
             else:
-                self.at(self.now + TICK_S, look)
+                self.at(self.now + TICK_S, end_if_possible)
 
-        self.at(self.now + 0.4, look)
+        self.at(self.now + 0.4, end_if_possible)
 
     def freeze(self, address: str, seconds: float) -> None:
         process = self.processes.get(address)
@@ -237,7 +238,7 @@
         def thaw() -> None:
             if self.now < process.frozen_until:
                 return
-            while process.inbox and self._runs(process):
+            while process.inbox and self._is_running(process):
                 process.inbox.popleft()()
 
         self.at(process.frozen_until, thaw)
@@ -245,7 +246,7 @@
     def _when_awake(self, process: Process, action: Callable[[], None]) -> None:
         if self.now < process.frozen_until:
             process.inbox.append(action)
-        elif self._runs(process):
+        elif self._is_running(process):
             action()
 
     def cut_off(self, address: str, others: Iterable[str] | None = None) -> None:
@@ -257,11 +258,11 @@
 
     def _note_commits(self, entries: list[Entry]) -> None:
         for entry in entries:
-            known = self.committed.setdefault(entry.sequence, entry)
-            assert known == entry, f"two entries committed at {entry.sequence}"
+            existing = self.committed.setdefault(entry.sequence, entry)
+            assert existing == entry, f"two entries committed at {entry.sequence}"
 
     def _tick(self, process: Process) -> None:
-        if not self._runs(process):
+        if not self._is_running(process):
             return
         if self.now < process.frozen_until:
             self.at(process.frozen_until, lambda: self._tick(process))
@@ -273,57 +274,57 @@
         self.at(self.now + TICK_S * self.random.uniform(0.8, 1.2), lambda: self._tick(process))
 
     def _write_slot(self, process: Process) -> None:
-        wanted = process.storage is not None and process.storage.wants_slot and not process.slot_asked
-        if wanted and process.replica.agreement.view is not None:
-            process.slot_asked = True
-            self._put(process, process.replica.image())
+        is_due = process.storage is not None and process.storage.needs_slot and not process.slot_requested
+        if is_due and process.replica.agreement.view is not None:
+            process.slot_requested = True
+            self._enqueue(process, process.replica.image())
 
     def _flush(self, process: Process) -> None:
-        if not self._runs(process):
+        if not self._is_running(process):
             return
         outbox = process.replica.outbox
         for write in outbox.take_writes():
-            self._put(process, write)
+            self._enqueue(process, write)
         for envelope in outbox.take_envelopes():
-            if process.address == envelope.address or not self.loses(envelope.message):
+            if process.address == envelope.address or not self.is_lost(envelope.message):
                 self.network.send(process.address, envelope.address, envelope.message)
 
     # the disk
 
-    def _put(self, process: Process, item: Write | Image) -> None:
+    def _enqueue(self, process: Process, item: Write | Image) -> None:
         process.queue.append(item)
-        if not process.working:
-            process.working = True
-            self._work_later(process, SYNC_S)
+        if not process.busy:
+            process.busy = True
+            self._schedule_next(process, SYNC_S)
 
-    def _work_later(self, process: Process, seconds: float) -> None:
+    def _schedule_next(self, process: Process, seconds: float) -> None:
         stalled = self.disks[process.address].stalled_until if process.storage is not None else 0.0
-        self.at(max(self.now, stalled) + seconds, lambda: self._do_next(process))
+        self.at(max(self.now, stalled) + seconds, lambda: self._perform_next(process))
 
-    def _do_next(self, process: Process) -> None:
-        if not self._runs(process):
+    def _perform_next(self, process: Process) -> None:
+        if not self._is_running(process):
             return
         if process.storage is not None and self.now < self.disks[process.address].stalled_until:
-            self._work_later(process, SYNC_S)
+            self._schedule_next(process, SYNC_S)
             return
         item = process.queue[0]
         try:
             if process.storage is not None:
-                self._work(process.storage, item)
+                self._perform(process.storage, item)
         except StorageError:
             if isinstance(item, Write):
-                self._work_later(process, RETRY_S)
+                self._schedule_next(process, RETRY_S)
                 return
         process.queue.popleft()
-        process.working = bool(process.queue)
-        if process.working:
-            self._work_later(process, SYNC_S)
+        process.busy = bool(process.queue)
+        if process.busy:
+            self._schedule_next(process, SYNC_S)
         if isinstance(item, Image):
-            process.slot_asked = False
+            process.slot_requested = False
         else:
             self._when_awake(process, lambda: self._synced(process, item.number))
 
-    def _work(self, storage: Storage, item: Write | Image) -> None:
+    def _perform(self, storage: Storage, item: Write | Image) -> None:
         if isinstance(item, Image):
             storage.write_slot(item)
         elif item.records:
@@ -347,9 +348,9 @@
     def _opened(self, address: str, other: str) -> None:
         process = self.processes.get(address)
         if process is not None and other in self.processes:
-            self._when_awake(process, lambda: self._tell_opened(process, other))
+            self._when_awake(process, lambda: self._report_opened(process, other))
 
-    def _tell_opened(self, process: Process, other: str) -> None:
+    def _report_opened(self, process: Process, other: str) -> None:
         if other in process.replica.peers.addresses:
             process.replica.connection_opened(other, self.now)
             self._flush(process)
@@ -362,7 +363,11 @@
     # the operator
 
     def order(
-        self, at: str, order: Order | None, longest: float = 3.0, done: Callable[[Call], None] | None = None
+        self,
+        at: str,
+        order: Order | None,
+        timeout_s: float = 3.0,
+        on_done: Callable[[Call], None] | None = None,
     ) -> Call:
         call = Call(order, self.now, at)
         self.calls.append(call)
@@ -374,14 +379,14 @@
         def ended(judgement: Judgement | None) -> None:
             call.ended, call.judgement = self.now, judgement
             call.revision = process.replica.log.state.revision
-            if done is not None:
-                done(call)
+            if on_done is not None:
+                on_done(call)
 
-        def make() -> None:
-            process.replica.call(order, self.now, longest, ended)
+        def submit() -> None:
+            process.replica.call(order, self.now, timeout_s, ended)
             self._flush(process)
 
-        self._when_awake(process, make)
+        self._when_awake(process, submit)
         return call
 
     def acknowledged(self) -> list[Order]:
@@ -394,7 +399,7 @@
 
 
 def check(config: object) -> None:
-    """Takes every configuration that has a revision."""
+    """Accepts every JSON object as a configuration."""
     assert isinstance(config, dict)
 
 
--- a/tests/cluster/test_chain.py
+++ b/tests/cluster/test_chain.py
@@ -89,7 +89,7 @@
             return True
         return False
 
-    cluster.loses = loses
+    cluster.is_lost = loses
     cluster.run(0.25)
     assert lost
     assert all(replica.current(cluster.now) for replica in cluster.replicas.values())
--- a/tests/cluster/test_fuzz.py
+++ b/tests/cluster/test_fuzz.py
@@ -278,9 +278,9 @@
 @many
 @given(st.binary(max_size=200))
 def test_a_slot_of_any_bytes_is_read_as_nothing_or_as_what_was_written(data: bytes) -> None:
-    generation = slots.generation_of(data)
+    generation = slots.decode_generation(data)
     assert generation is None or generation >= 0
-    for record, end in slots.blocks(data, 1):
+    for record, end in slots.decode_blocks(data, 1):
         assert record is not None and end <= len(data)
 
 
--- a/tests/cluster/test_slow_links.py
+++ b/tests/cluster/test_slow_links.py
@@ -1,4 +1,7 @@
-"""Hundreds of changes, large states and slow links in the model; mutations.py takes the mechanisms out."""
+"""Many changes, large states and slow links in the simulation.
+
+mutations.py disables the mechanisms that these tests cover, one at a time.
+"""
 
 from __future__ import annotations
 
@@ -15,17 +18,17 @@
 from tests.cluster.simulation import Cluster, Process, change
 
 
-def order_of(revision: int, filling: str) -> Order:
-    body = json.dumps({"revision": revision, "note": filling}).encode()
+def order_of(revision: int, note: str) -> Order:
+    body = json.dumps({"revision": revision, "note": note}).encode()
     return Order(OrderKind.REPLACE, revision - 1, body)
 
 
-def test_an_empty_member_joins_after_hundreds_of_changes_over_a_slow_link_and_stays_alive() -> None:
-    filling = random.Random(1).randbytes(500_000).hex()  # 1 MB that compresses to half
+def test_empty_member_joins_after_hundreds_of_changes_over_a_slow_link_and_stays_alive() -> None:
+    note = random.Random(1).randbytes(500_000).hex()  # 1 MB, compresses to half of that
     cluster = Cluster(THREE, catch_up_s=6.0)
     cluster.run(2.0)
     for revision in range(1, 401):
-        cluster.order("a:1", order_of(revision, filling if revision in (100, 400) else ""))
+        cluster.order("a:1", order_of(revision, note if revision in (100, 400) else ""))
         cluster.run(0.05)
     cluster.run(2.0)
     assert cluster.replicas["a:1"].log.state.revision == 400
@@ -33,19 +36,19 @@
     cluster.run(1.0)
     cluster.network.bytes_per_s = 5e6 / 8
     sent: list[int] = []
-    cluster.loses = lambda m: bool(sent.append(len(frame(m)))) if isinstance(m, BULK) else False  # type: ignore[func-returns-value]
+    cluster.is_lost = lambda m: bool(sent.append(len(frame(m)))) if isinstance(m, BULK) else False  # type: ignore[func-returns-value]
     cluster.start("c:1")
-    silent: list[float] = []
+    silence_s: list[float] = []
 
     def watch(process: Process) -> None:
         peer = process.replica.peers.peers.get(cluster.replicas["c:1"].settings.node)
         if process.address == "a:1" and peer is not None:
-            silent.append(cluster.now - peer.heard)
+            silence_s.append(cluster.now - peer.heard)
 
     cluster.on_tick = watch
     cluster.run(6.0)
     assert cluster.replicas["c:1"].log.state.revision == 400
-    assert max(silent) < 0.5, f"{max(silent):.2f} s without a heartbeat"
+    assert max(silence_s) < 0.5, f"{max(silence_s):.2f} s without a heartbeat"
     assert sum(sent) < 750_000, f"{sum(sent)} bytes for a state of about 600,000"
     view = cluster.replicas["a:1"].agreement.view
     assert view is not None and len(view.chain) == 3 and not view.previous
@@ -55,23 +58,23 @@
     cluster = Cluster(THREE, catch_up_s=6.0)
     cluster.run(2.0)
     cluster.network.bytes_per_s = 5e6 / 8
-    silent: list[float] = []
+    silence_s: list[float] = []
 
     def watch(process: Process) -> None:
         peers = process.replica.peers.peers.values()
-        silent.extend(cluster.now - peer.heard for peer in peers)
+        silence_s.extend(cluster.now - peer.heard for peer in peers)
 
     cluster.on_tick = watch
     call = cluster.order("a:1", order_of(1, random.Random(1).randbytes(700_000).hex()), 8.0)
     cluster.run(8.0)
     assert verdict(call) == Verdict.TAKEN
-    assert max(silent) < 0.5, f"{max(silent):.2f} s without a heartbeat"
+    assert max(silence_s) < 0.5, f"{max(silence_s):.2f} s without a heartbeat"
 
 
 BULK = (SnapshotPart, Fetched, ChainState)
 
 
-def test_a_transfer_goes_on_where_it_was_broken_off() -> None:
+def test_transfer_resumes_where_it_was_broken_off() -> None:
     cluster = Cluster(THREE, catch_up_s=6.0)
     cluster.run(2.0)
     cluster.order("a:1", order_of(1, random.Random(1).randbytes(500_000).hex()))
@@ -85,7 +88,7 @@
     cluster.run(1.0)
     cluster.network.bytes_per_s = 1e6 / 8
     sent: list[int] = []
-    cluster.loses = lambda m: bool(sent.append(len(frame(m)))) if isinstance(m, BULK) else False  # type: ignore[func-returns-value]
+    cluster.is_lost = lambda m: bool(sent.append(len(frame(m)))) if isinstance(m, BULK) else False  # type: ignore[func-returns-value]
     cluster.start("c:1")
     cluster.run(2.0)
     cluster.cut_off("c:1", ("a:1", "b:1"))
@@ -96,7 +99,7 @@
     assert sum(sent) < 700_000, f"{sum(sent)} bytes for a state of about 560,000"
 
 
-def test_a_change_that_was_sent_into_a_broken_connection_is_sent_again_at_once() -> None:
+def test_change_sent_into_a_broken_connection_is_resent_at_once() -> None:
     cluster = Cluster(THREE)
     cluster.run(2.0)
     head = head_of(cluster)
@@ -109,8 +112,8 @@
     assert verdict(call) == Verdict.TAKEN
 
 
-def test_a_question_of_the_chain_is_answered_once_while_the_answer_is_on_its_way() -> None:
-    """A change of 250 KB that is not committed goes to the member that becomes the successor."""
+def test_join_request_is_answered_once_while_the_answer_is_in_transit() -> None:
+    """An uncommitted change of 250 KB is sent to the member that becomes the successor."""
     cluster = Cluster(THREE)
     cluster.run(2.0)
     taken(cluster, "a:1", 1, 0)
@@ -119,7 +122,7 @@
     head, successor, _ = (node.partition("/")[0] for node in view.chain_nodes)
     cluster.network.bytes_per_s = 5e6 / 8
     sent: list[int] = []
-    cluster.loses = lambda m: bool(sent.append(len(frame(m)))) if isinstance(m, ChainState) else False  # type: ignore[func-returns-value]
+    cluster.is_lost = lambda m: bool(sent.append(len(frame(m)))) if isinstance(m, ChainState) else False  # type: ignore[func-returns-value]
     cluster.order(head, change(2, 1, random.Random(1).randbytes(250_000).hex()))
     cluster.run(0.05)
     cluster.kill(successor)
@@ -128,20 +131,20 @@
     assert 250_000 < sum(sent) < 400_000, f"{sum(sent)} bytes for a change of 250,000"
 
 
-def test_a_large_call_is_not_sent_again_while_it_is_on_its_way() -> None:
+def test_large_call_is_not_resent_while_it_is_in_transit() -> None:
     cluster = Cluster(THREE)
     cluster.run(2.0)
     other = next(address for address in THREE if address != head_of(cluster))
     cluster.network.bytes_per_s = 5e6 / 8
     sent: list[int] = []
-    cluster.loses = lambda m: bool(sent.append(1)) if isinstance(m, Submit) else False  # type: ignore[func-returns-value]
+    cluster.is_lost = lambda m: bool(sent.append(1)) if isinstance(m, Submit) else False  # type: ignore[func-returns-value]
     call = cluster.order(other, order_of(1, random.Random(1).randbytes(500_000).hex()), 8.0)
     cluster.run(6.0)
     assert verdict(call) == Verdict.TAKEN and len(sent) == 1
 
 
-def test_a_transfer_goes_on_when_its_source_is_gone() -> None:
-    """The member that tells a snapshot dies in the middle; the chain does not wait for it."""
+def test_transfer_continues_when_its_source_is_gone() -> None:
+    """The member that sends a snapshot dies during the transfer; the chain does not wait for it."""
     cluster = Cluster((*THREE, "d:1", "e:1"), tolerated=2, catch_up_s=6.0)
     cluster.run(2.0)
     cluster.order("a:1", order_of(1, random.Random(1).randbytes(500_000).hex()))
@@ -155,7 +158,7 @@
     cluster.run(1.0)
     cluster.network.bytes_per_s = 5e6 / 8
     sources: list[str] = []
-    cluster.loses = lambda m: False
+    cluster.is_lost = lambda m: False
     cluster.start("c:1")
     while not sources:
         cluster.run(0.02)
@@ -237,9 +240,9 @@
             ),
         ),
     ],
-    ids=["late-promises", "five-members", "calls-sent-again", "a-large-state"],
+    ids=["late-promises", "five-members", "calls-resent", "large-state"],
 )
-def test_slow_links_do_not_bring_view_after_view(play: worst_days.Play) -> None:
+def test_slow_links_do_not_cause_repeated_view_changes(play: worst_days.Play) -> None:
     player = worst_days.Player(play)
     player.run()
     epochs = [replica.link.epoch for replica in player.cluster.replicas.values()]
--- a/tests/cluster/test_storage.py
+++ b/tests/cluster/test_storage.py
@@ -1,4 +1,4 @@
-"""The keeper's files: torn ends, damaged slots, a disk that refuses."""
+"""Durable storage of a keeper: torn log ends, damaged slots, failing writes, power loss."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return Entry(3, number, change(number, number - 1, "x" * 80))
 
 
-def filled(folder: Path, count: int = 3) -> Storage:
-    storage = Storage(folder)
+def filled_storage(directory: Path, count: int = 3) -> Storage:
+    storage = Storage(directory)
     storage.open()
     storage.append([Identity("a:1/0"), VIEW, VOTE])
     for number in range(1, count + 1):
@@ -43,17 +43,17 @@
     return Image("a:1/0", VIEW, VOTE, log.snapshot(), ())
 
 
-def test_what_was_synced_is_read_back(tmp_path: Path) -> None:
-    filled(tmp_path).close()
-    found = Storage(tmp_path).open()
-    assert found.node == "a:1/0"
-    assert found.stored.view == VIEW and found.stored.vote == VOTE
-    assert [e.sequence for e in found.stored.entries] == [1, 2, 3]
+def test_synced_records_are_read_back(tmp_path: Path) -> None:
+    filled_storage(tmp_path).close()
+    recovered = Storage(tmp_path).open()
+    assert recovered.node == "a:1/0"
+    assert recovered.stored.view == VIEW and recovered.stored.vote == VOTE
+    assert [e.sequence for e in recovered.stored.entries] == [1, 2, 3]
 
 
 @pytest.mark.parametrize("cut", range(1, 60, 7))
-def test_a_torn_end_is_cut_off_and_written_over(tmp_path: Path, cut: int) -> None:
-    filled(tmp_path).close()
+def test_torn_log_end_is_truncated_and_overwritten(tmp_path: Path, cut: int) -> None:
+    filled_storage(tmp_path).close()
     path = tmp_path / "log-a"
     os.truncate(path, path.stat().st_size - cut)
     storage = Storage(tmp_path)
@@ -63,18 +63,18 @@
     assert [e.sequence for e in Storage(tmp_path).open().stored.entries] == [1, 2, 3]
 
 
-def test_a_slot_takes_the_place_of_the_log(tmp_path: Path) -> None:
-    storage = filled(tmp_path)
+def test_new_slot_replaces_the_log(tmp_path: Path) -> None:
+    storage = filled_storage(tmp_path)
     storage.write_slot(image(3))
     storage.append([entry(4)])
     storage.close()
-    found = Storage(tmp_path).open()
-    assert found.stored.snapshot is not None and tuple(found.stored.snapshot.stamp) == (3, 3)
-    assert [e.sequence for e in found.stored.entries] == [4]
+    recovered = Storage(tmp_path).open()
+    assert recovered.stored.snapshot is not None and tuple(recovered.stored.snapshot.stamp) == (3, 3)
+    assert [e.sequence for e in recovered.stored.entries] == [4]
 
 
-def test_a_torn_slot_leaves_the_one_before_with_its_log(tmp_path: Path) -> None:
-    storage = filled(tmp_path)
+def test_torn_slot_falls_back_to_the_previous_slot_and_its_log(tmp_path: Path) -> None:
+    storage = filled_storage(tmp_path)
     storage.write_slot(image(3))
     storage.close()
     path = tmp_path / "slot-b"
@@ -82,8 +82,8 @@
     assert [e.sequence for e in Storage(tmp_path).open().stored.entries] == [1, 2, 3]
 
 
-def test_a_damaged_slot_that_was_in_use_is_told(tmp_path: Path) -> None:
-    storage = filled(tmp_path)
+def test_damaged_slot_that_was_in_use_is_an_error(tmp_path: Path) -> None:
+    storage = filled_storage(tmp_path)
     storage.write_slot(image(3))
     storage.append([entry(4)])
     storage.close()
@@ -95,15 +95,15 @@
         Storage(tmp_path).open()
 
 
-def test_a_refused_write_can_be_made_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    storage = filled(tmp_path)
+def test_refused_write_can_be_repeated(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    storage = filled_storage(tmp_path)
     write = os.pwrite
 
-    def half(descriptor: int, data: bytes, position: int) -> int:
+    def write_half(descriptor: int, data: bytes, position: int) -> int:
         write(descriptor, bytes(data)[: len(data) // 2], position)
         raise OSError(errno.ENOSPC, "full")
 
-    monkeypatch.setattr(os, "pwrite", half)
+    monkeypatch.setattr(os, "pwrite", write_half)
     with pytest.raises(StorageError):
         storage.append([entry(4)])
     with pytest.raises(StorageError):
@@ -114,19 +114,19 @@
     assert [e.sequence for e in Storage(tmp_path).open().stored.entries] == [1, 2, 3, 4]
 
 
-def test_slots_are_written_in_turn(tmp_path: Path) -> None:
+def test_slots_are_written_alternately(tmp_path: Path) -> None:
     pair = slots.SlotPair(tmp_path, "x")
     for number in range(5):
         pair.write(Snapshot((1, number), b"", []))
-        again = slots.SlotPair(tmp_path, "x")
-        assert again.newest().stamp[1] == number
+        reopened = slots.SlotPair(tmp_path, "x")
+        assert reopened.newest().stamp[1] == number
     assert sorted(p.name for p in tmp_path.iterdir()) == ["x-a", "x-b"]
 
 
-FOLDER = Path("disk")
+DIRECTORY = Path("disk")
 
 
-def test_an_empty_folder_founds_and_one_that_cannot_be_read_never(tmp_path: Path) -> None:
+def test_empty_directory_founds_a_cluster_and_unreadable_one_does_not(tmp_path: Path) -> None:
     first = open_storage(tmp_path)
     assert take_identity(first, "a:1", ["a:1", "b:1"], "g").node == "a:1/0"
     assert first.storage is not None
@@ -134,72 +134,72 @@
     first.storage.close()
     path = tmp_path / "keeper" / "log-a"
     path.write_bytes(path.read_bytes()[: slots.HEADER.size] + b"\x00" * 100)
-    again = open_storage(tmp_path)
-    assert take_identity(again, "a:1", ["a:1", "b:1"], "g").node == "a:1/g"
-    assert again.recovered.stored.view is None
+    reopened = open_storage(tmp_path)
+    assert take_identity(reopened, "a:1", ["a:1", "b:1"], "g").node == "a:1/g"
+    assert reopened.recovered.stored.view is None
 
 
-def test_a_damaged_slot_never_founds(tmp_path: Path) -> None:
-    folder = tmp_path / "keeper"
-    folder.mkdir()
-    storage = filled(folder)
+def test_damaged_slot_never_founds_a_cluster(tmp_path: Path) -> None:
+    directory = tmp_path / "keeper"
+    directory.mkdir()
+    storage = filled_storage(directory)
     storage.write_slot(image(3))
     storage.append([entry(4)])
     storage.close()
-    (folder / "slot-b").write_bytes(b"damaged")
+    (directory / "slot-b").write_bytes(b"damaged")
     opened = open_storage(tmp_path)
     assert not opened.was_empty
     assert take_identity(opened, "a:1", ["a:1"], "g").node == "a:1/g"
 
 
-def test_what_follows_a_slot_whose_write_failed_is_read_back() -> None:
-    """The slot was whole when the sync of its folder failed: a start would go on from it."""
+def test_records_after_a_failed_slot_write_are_read_back() -> None:
+    """The directory sync after a complete slot write fails: without an erase a restart uses that slot."""
     files = SimulatedFiles(1)
-    storage = Storage(FOLDER, files)
+    storage = Storage(DIRECTORY, files)
     storage.open()
     storage.append([Identity("a:1/0"), VIEW, VOTE, entry(1), entry(2), entry(3)])
-    sync_folder, calls = files.sync_folder, []
+    sync_directory, calls = files.sync_directory, []
 
-    def fail_second(folder: Path) -> None:
-        calls.append(folder)
+    def fail_second(directory: Path) -> None:
+        calls.append(directory)
         if len(calls) == 2:
             raise OSError(errno.EIO, "failed")
-        sync_folder(folder)
+        sync_directory(directory)
 
-    files.sync_folder = fail_second  # type: ignore[method-assign]
+    files.sync_directory = fail_second  # type: ignore[method-assign]
     with pytest.raises(StorageError):
         storage.write_slot(image(3))
     storage.append([entry(4)])
     files.lose_power()
-    found = Storage(FOLDER, files).open()
-    assert found.stored.entries and found.stored.entries[-1].sequence == 4
+    recovered = Storage(DIRECTORY, files).open()
+    assert recovered.stored.entries and recovered.stored.entries[-1].sequence == 4
 
 
-def test_a_slot_that_was_read_but_not_synced_lasts() -> None:
-    """A process ended between the write of a slot and its sync; the next one goes on from it."""
+def test_slot_that_was_read_but_not_synced_is_durable() -> None:
+    """A process ends between the write and the sync of a slot, and the next one continues from that slot."""
     for seed in range(20):
         files = SimulatedFiles(seed)
-        storage = Storage(FOLDER, files)
+        storage = Storage(DIRECTORY, files)
         storage.open()
         storage.append([Identity("a:1/0"), VIEW, VOTE, entry(1), entry(2), entry(3)])
-        files.power_fails_at = 6  # the log was begun, the slot is written
+        files.power_fails_at = 6  # after the new log is created and the slot is written
         with pytest.raises(PowerLost):
             storage.write_slot(image(3))
         files.power_fails_at = None
-        again = Storage(FOLDER, files)
-        again.open()
-        again.append([entry(4)])
+        reopened = Storage(DIRECTORY, files)
+        reopened.open()
+        reopened.append([entry(4)])
         files.lose_power()
-        opened = open_disk(Storage(FOLDER, files))
+        opened = open_disk(Storage(DIRECTORY, files))
         stored = opened.recovered.stored
         assert stored.entries and stored.entries[-1].sequence == 4, f"seed {seed}"
 
 
 @pytest.mark.parametrize("operation", range(12))
-def test_power_lost_at_any_operation_leaves_all_that_was_synced(operation: int) -> None:
+def test_power_loss_at_any_operation_keeps_synced_records(operation: int) -> None:
     for seed in range(10):
         files = SimulatedFiles(seed)
-        storage = Storage(FOLDER, files)
+        storage = Storage(DIRECTORY, files)
         storage.open()
         storage.append([Identity("a:1/0"), VIEW, VOTE, entry(1), entry(2), entry(3)])
         files.power_fails_at = operation
@@ -209,8 +209,8 @@
         except PowerLost:
             pass
         files.lose_power()
-        found = Storage(FOLDER, files).open()
-        assert found.node == "a:1/0" and found.stored.vote == VOTE
-        newest = found.stored.entries[-1].sequence if found.stored.entries else 0
-        snapshot = found.stored.snapshot
+        recovered = Storage(DIRECTORY, files).open()
+        assert recovered.node == "a:1/0" and recovered.stored.vote == VOTE
+        newest = recovered.stored.entries[-1].sequence if recovered.stored.entries else 0
+        snapshot = recovered.stored.snapshot
         assert max(newest, snapshot.stamp[1] if snapshot is not None else 0) >= 3
