--- a/pebbledrift/chain/log.py
+++ b/pebbledrift/chain/log.py
@@ -100,7 +100,7 @@
         while self.committed.sequence < min(sequence, self.last.sequence):
             entry = self.get(self.committed.sequence + 1)
             if entry is None:
-                raise InvariantViolation(f"the entry after committed {self.committed} is missing")
+                raise InvariantViolation(f"no entry follows the committed entry {self.committed}")
             if entry.order is not None:
                 self.state.apply(entry.order)
             self.committed = entry.stamp
--- a/pebbledrift/chain/messages.py
+++ b/pebbledrift/chain/messages.py
@@ -52,7 +52,7 @@
 
     stamp: tuple[int, int]
     config: bytes
-    taken: list[tuple[bytes, int]]
+    taken: list[tuple[bytes, int]]  # digests of accepted orders with their revisions, oldest first
 
 
 @message(60)
@@ -62,7 +62,7 @@
     node: str
     incarnation: int
     zone: str
-    control: str  # address at which the sender serves workers and the operator
+    control_address: str  # address at which the sender serves workers and the operator
     eligible: bool  # has a disk, and counts towards the number of tolerated failures
     healthy: bool  # the disk responds
     leaving: bool
--- a/pebbledrift/keeper/status.py
+++ b/pebbledrift/keeper/status.py
@@ -45,7 +45,7 @@
         "revision": replica.log.state.revision,
         "committed": list(replica.log.committed),
         "synced": replica.link.synced,
-        "keepers": sorted(peer.heartbeat.control for peer in replica.peers.living(now)),
+        "keepers": sorted(peer.heartbeat.control_address for peer in replica.peers.living(now)),
         "connected": keeper.network.router_count,
         "routers": keeper.router_revisions(),
         "children": len(keeper.relays.publisher),
--- a/tests/cluster/mutations.py
+++ b/tests/cluster/mutations.py
@@ -124,7 +124,7 @@
         "is_missed",
     ),
     Mutation(
-        "questions are answered once while the answer may be under way",
+        "a join request is answered once while the answer may be in transit",
         "pebbledrift/chain/link.py",
         "if message == self._answered_join and self._may_be_in_transit(entries, JOIN_RETRY_S):",
         "if False:",
@@ -257,7 +257,7 @@
         "leaves",
     ),
     Mutation(
-        "a transfer goes on where it was",
+        "a transfer resumes where it stopped",
         "pebbledrift/chain/transfer.py",
         "        if address == self._source:\n            self._retry_at, self._retry_s = 0.0, RETRY_S",
         "        if address == self._source:\n            self.stop()",
@@ -265,7 +265,7 @@
         "broken_off",
     ),
     Mutation(
-        "what is under way is not sent again",
+        "a request for a snapshot part is not repeated while the answer is in transit",
         "pebbledrift/chain/transfer.py",
         "if not self.active or now < self._retry_at:",
         "if not self.active:",
@@ -304,7 +304,7 @@
         "large_call",
     ),
     Mutation(
-        "what was sent into a broken connection is sent again at once",
+        "entries sent into a broken connection are resent at once",
         "pebbledrift/chain/link.py",
         '        if node == self._neighbour(1):\n            self._entries_sent_at = float("-inf")',
         "        return",
@@ -312,7 +312,7 @@
         "broken_connection",
     ),
     Mutation(
-        "a source of a snapshot that is gone is given up",
+        "a snapshot source that is down is replaced",
         "pebbledrift/chain/transfer.py",
         "        return self.stalled(now) and now - self._other_offer_since >= FAILOVER_DELAY_S",
         "        return False",
@@ -328,7 +328,7 @@
         "founds",
     ),
     Mutation(
-        "a slot whose write failed is voided",
+        "a slot whose write failed is erased",
         "pebbledrift/chain/storage.py",
         "                self._next_slot_uncertain = True\n",
         "",
--- a/tests/cluster/simulated_disk.py
+++ b/tests/cluster/simulated_disk.py
@@ -29,10 +29,12 @@
     named: bool = False  # its directory entry is durable
 
     def content(self) -> bytes:
+        """The content that a reader sees."""
         return apply(self.synced, self.changes)
 
 
 def apply(data: bytes, changes: list[Change]) -> bytes:
+    """Applies changes to the content of a file."""
     content = bytearray(data)
     for change in changes:
         if change.data is None:
@@ -117,6 +119,7 @@
     # faults
 
     def _count_operation(self) -> None:
+        """Raises PowerLost once `power_fails_at` operations have been performed."""
         if self.power_fails_at is None:
             return
         self.power_fails_at -= 1
@@ -141,6 +144,7 @@
         self._open.clear()
 
     def _kept_part(self, change: Change) -> list[Change]:
+        """The part of an unsynced change that survives a power loss."""
         draw = self.random.random()
         if draw < 0.4:
             return []
--- a/tests/cluster/simulated_network.py
+++ b/tests/cluster/simulated_network.py
@@ -58,9 +58,11 @@
         self.loss = 0.0
 
     def link(self, sender: str, receiver: str) -> Link:
+        """The link from sender to receiver."""
         return self._links.setdefault((sender, receiver), Link())
 
     def send(self, sender: str, receiver: str, message: Any) -> None:
+        """Sends a message, which may be lost, delayed or queued."""
         data = codec.encode(message)
         if sender == receiver:
             process = self._process_of(receiver)
@@ -126,6 +128,7 @@
             self._lost(receiver, sender)
 
     def heal(self) -> None:
+        """Restores all cut links: opens new connections, or sends what waits on those still open."""
         for (sender, receiver), link in list(self._links.items()):
             if link.cut_since is None:
                 continue
--- a/tests/cluster/simulation.py
+++ b/tests/cluster/simulation.py
@@ -122,10 +122,12 @@
         self.network.loss = share
 
     def at(self, time: float, action: Callable[[], None]) -> None:
+        """Schedules an action at a simulated time."""
         self._number += 1
         heapq.heappush(self._events, (time, self._number, action))
 
     def run(self, seconds: float) -> None:
+        """Runs the events of the next seconds of simulated time."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
@@ -135,6 +137,7 @@
     # processes
 
     def start(self, address: str, founder: bool = False) -> None:
+        """Starts a process at an address, with its existing disk or an empty one."""
         self._incarnation += 1
         opened = self._open(address)
         founding = self.seeds if founder else ()
@@ -189,6 +192,7 @@
         return self.processes.get(process.address) is process
 
     def kill(self, address: str, power: bool = False) -> None:
+        """Kills a process, in the middle of a write if one is pending; `power` also cuts the power."""
         process = self.processes.pop(address, None)
         disk = self.disks.get(address)
         if disk is None:
@@ -210,6 +214,7 @@
         disk.files.power_fails_at = None
 
     def wipe(self, address: str) -> None:
+        """Kills a process and loses its disk."""
         self.kill(address, power=True)
         self.disks.pop(address, None)
 
@@ -230,6 +235,7 @@
         self.at(self.now + 0.4, end_if_possible)
 
     def freeze(self, address: str, seconds: float) -> None:
+        """Stops a process for some seconds; it handles the events of that time when it continues."""
         process = self.processes.get(address)
         if process is None:
             return
@@ -250,10 +256,12 @@
             action()
 
     def cut_off(self, address: str, others: Iterable[str] | None = None) -> None:
+        """Cuts the links between an address and others, by default all others."""
         chosen = list(others) if others is not None else [*self.disks, *self.diskless]
         self.network.cut([(address, other) for other in chosen] + [(other, address) for other in chosen])
 
     def heal(self) -> None:
+        """Restores all cut links."""
         self.network.heal()
 
     def _note_commits(self, entries: list[Entry]) -> None:
@@ -274,6 +282,7 @@
         self.at(self.now + TICK_S * self.random.uniform(0.8, 1.2), lambda: self._tick(process))
 
     def _write_slot(self, process: Process) -> None:
+        """Queues a new slot if one is due."""
         is_due = process.storage is not None and process.storage.needs_slot and not process.slot_requested
         if is_due and process.replica.agreement.view is not None:
             process.slot_requested = True
@@ -369,6 +378,7 @@
         timeout_s: float = 3.0,
         on_done: Callable[[Call], None] | None = None,
     ) -> Call:
+        """Makes a call at an address: an order, or a read if `order` is None."""
         call = Call(order, self.now, at)
         self.calls.append(call)
         process = self.processes.get(at)
@@ -390,9 +400,11 @@
         return call
 
     def acknowledged(self) -> list[Order]:
+        """The orders that were acknowledged as taken."""
         return [c.order for c in self.calls if c.order and c.judgement and c.judgement.verdict in TAKEN]
 
     def check_kept(self, state_at: str) -> None:
+        """Asserts that the state at an address contains every acknowledged order."""
         state = self.replicas[state_at].log.state
         for order in self.acknowledged():
             assert order.digest in state.taken, f"lost: {order}"
@@ -404,6 +416,7 @@
 
 
 def change(revision: int, base: int, note: Any = "") -> Order:
+    """An order that replaces the configuration at revision `base` by one at `revision`."""
     return Order(OrderKind.REPLACE, base, json.dumps({"revision": revision, "note": note}).encode())
 
 
--- a/tests/cluster/test_storage.py
+++ b/tests/cluster/test_storage.py
@@ -27,6 +27,7 @@
 
 
 def filled_storage(directory: Path, count: int = 3) -> Storage:
+    """An open storage with an identity, a view, a vote and `count` entries."""
     storage = Storage(directory)
     storage.open()
     storage.append([Identity("a:1/0"), VIEW, VOTE])
@@ -36,6 +37,7 @@
 
 
 def image(count: int) -> Image:
+    """An image whose snapshot includes `count` entries."""
     log = ReplicatedLog()
     for number in range(1, count + 1):
         log.append(entry(number))
