--- a/pebbledrift/chain/coordination.py
+++ b/pebbledrift/chain/coordination.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from pebbledrift.chain.agreement import EXTEND_PROMISE_WAIT_S, Agreement
-from pebbledrift.chain.link import SLOWEST_LINK, ChainLink, bytes_of
+from pebbledrift.chain.link import SLOWEST_LINK_BYTES_PER_S, ChainLink, entry_bytes
 from pebbledrift.chain.log import ReplicatedLog
 from pebbledrift.chain.messages import Stamp
 from pebbledrift.chain.peers import Peer, PeerTable
@@ -91,7 +91,7 @@
         if not self._log.holds(stamp):
             return False
         missing = self._log.after(stamp.sequence, self._log.committed.sequence)
-        return len(missing) <= MAX_LAG_ENTRIES and sum(map(bytes_of, missing)) <= MAX_LAG_BYTES
+        return len(missing) <= MAX_LAG_ENTRIES and sum(map(entry_bytes, missing)) <= MAX_LAG_BYTES
 
     def _extend_chain(self, next_plan: Plan, now: float) -> None:
         """Propose a longer chain. Each attempt interrupts the chain, so the wait before the next grows."""
@@ -117,7 +117,7 @@
 
     def _transfer_s(self) -> float:
         """Return how many seconds the uncommitted entries may take to travel down the chain."""
-        return sum(map(bytes_of, self._log.after(self._log.committed.sequence))) / SLOWEST_LINK
+        return sum(map(entry_bytes, self._log.after(self._log.committed.sequence))) / SLOWEST_LINK_BYTES_PER_S
 
 
 def _only_extends_chain(next_plan: Plan, view: View) -> bool:
--- a/pebbledrift/keeper/disk.py
+++ b/pebbledrift/keeper/disk.py
@@ -40,7 +40,7 @@
 
     def should_write_image(self) -> bool:
         """Returns True if a state image should be written to a slot, and then False until that is done."""
-        if self._image_requested or not self._storage.wants_slot:
+        if self._image_requested or not self._storage.needs_slot:
             return False
         self._image_requested = True
         return True
--- a/tests/cluster/test_chain.py
+++ b/tests/cluster/test_chain.py
@@ -89,7 +89,7 @@
             return True
         return False
 
-    cluster.loses = drops
+    cluster.is_lost = drops
     cluster.run(0.25)
     assert dropped
     assert all(replica.current(cluster.now) for replica in cluster.replicas.values())
