--- a/pebbledrift/console/__init__.py
+++ b/pebbledrift/console/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line: checks configurations, and talks to a running fleet."""
+"""The operators' command line: checks configuration files and calls the keepers of a running fleet."""
--- a/pebbledrift/console/application.py
+++ b/pebbledrift/console/application.py
@@ -1,4 +1,4 @@
-"""The command-line application: all commands, logs of its calls, and the process's exit code."""
+"""The command-line application: registers all commands, sets up logging and returns the exit code."""
 
 from __future__ import annotations
 
@@ -40,22 +40,25 @@
 
 
 class Console(Application):
-    """The application; what the arguments have wrong ends it like any other fault of input."""
+    """The Cleo application; maps errors in the command-line arguments to ExitCode.INVALID."""
 
     def run(
         self, input: Input | None = None, output: Output | None = None, error: Output | None = None
     ) -> int:
-        """Run the command that the arguments name; returns the exit code."""
+        """Run the command named by the arguments and return its exit code."""
         streams = self.create_io(input, output, error)
         try:
             return super().run(streams.input, streams.output, streams.error_output)
-        except CleoError as problem:
-            self.render_error(problem, streams)
+        except CleoError as cleo_error:
+            self.render_error(cleo_error, streams)
             return ExitCode.INVALID
 
 
 def make_application() -> Console:
-    """The application with all commands."""
+    """Return an application with all commands registered.
+
+    Errors other than argument errors propagate to the caller, and `run` returns instead of exiting.
+    """
     application = Console("pebbledrift", "0.1.0")
     application.auto_exits(False)
     application.catch_exceptions(False)
@@ -65,7 +68,7 @@
 
 
 def main() -> int:
-    """Run the command that the arguments name."""
+    """Run the command named by sys.argv, logging to stderr, and return its exit code."""
     level = INFO if {"-v", "-vv", "-vvv", "--verbose"} & set(sys.argv) else NOTICE
     with StreamHandler(sys.stderr, level=level, bubble=False).applicationbound():
         return make_application().run()
--- a/pebbledrift/console/commands/__init__.py
+++ b/pebbledrift/console/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, one module for each group."""
+"""The commands, one module per group."""
--- a/pebbledrift/console/commands/config.py
+++ b/pebbledrift/console/commands/config.py
@@ -1,4 +1,4 @@
-"""Commands for configurations: check and compare files, read and change what is in place."""
+"""The `config` commands: check and compare files, read and replace the configuration in force."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from cleo.io.inputs.option import Option
 
 from pebbledrift.cluster.errors import InvalidConfiguration
-from pebbledrift.console.commands.base import FLEET_OPTIONS, ConsoleCommand, FleetCommand, whole_number
+from pebbledrift.console.commands.base import FLEET_OPTIONS, ConsoleCommand, FleetCommand, parse_whole_number
 from pebbledrift.console.difference import compare
 from pebbledrift.console.documents import read_object, write_private
 from pebbledrift.console.errors import ConsoleError, ExitCode, FaultyConfiguration
-from pebbledrift.console.fleet_status import collect
+from pebbledrift.console.fleet_status import collect_status
 from pebbledrift.control.orders import ConfigurationState, Order, OrderKind, Verdict
 from pebbledrift.control.schema import check
 
 FILE = argument("file", description="A configuration (JSON).")
-WAIT_POLL_S = 0.2
+STATUS_POLL_INTERVAL_S = 0.2
 
 
-def checked(config: dict[str, Any]) -> dict[str, Any]:
-    """The configuration, if it is valid; raises FaultyConfiguration with every fault."""
+def require_valid(config: dict[str, Any]) -> dict[str, Any]:
+    """Return the configuration if it is valid; raises FaultyConfiguration with every fault."""
     try:
         check(config)
     except InvalidConfiguration as error:
@@ -32,19 +32,22 @@
     return config
 
 
-def changed(base: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
-    """What a configuration becomes by a change of named items; raises FaultyConfiguration."""
+def apply_update(base: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
+    """Return the base configuration with an update applied; raises FaultyConfiguration.
+
+    `change` lists the named items to upsert and to delete, and the new revision.
+    """
     state = ConfigurationState(check)
     state.config = base
     order = Order(OrderKind.UPDATE, base["revision"], json.dumps(change).encode())
-    judgement = state.apply(order)
-    if judgement.verdict != Verdict.TAKEN:
-        raise FaultyConfiguration(judgement.reason.split("; "))
+    decision = state.apply(order)
+    if decision.verdict != Verdict.TAKEN:
+        raise FaultyConfiguration(decision.reason.split("; "))
     return state.config
 
 
 class ConfigCheckCommand(ConsoleCommand):
-    """Check a file without a fleet."""
+    """Checks a configuration file without a fleet."""
 
     name = "config check"
     description = "Check a configuration file, and tell every fault with its place."
@@ -55,22 +58,22 @@
     ]
 
     def execute_command(self) -> int:
-        """Check the file."""
+        """Check the file; with --base, as a change to that configuration."""
         path = self.argument("file")
         config = read_object(path)
         if self.option("base"):
-            config = changed(checked(read_object(self.option("base"))), config)
+            config = apply_update(require_valid(read_object(self.option("base"))), config)
         else:
-            checked(config)
+            require_valid(config)
         counts = {name: len(config.get(name) or []) for name in ("routes", "backends", "tenants")}
-        words = ", ".join(f"{count} {name}" for name, count in counts.items())
+        summary = ", ".join(f"{count} {name}" for name, count in counts.items())
         data = {"valid": True, "revision": config["revision"], **counts}
-        self.show(data, [f"{path}: valid, revision {config['revision']}, {words}"])
+        self.show(data, [f"{path}: valid, revision {config['revision']}, {summary}"])
         return ExitCode.OK
 
 
 class ConfigDiffCommand(FleetCommand):
-    """Compare two configurations."""
+    """Compares two files, or a file with the configuration in force."""
 
     name = "config diff"
     description = "Show what differs between a file and what is in place, or between two files."
@@ -80,12 +83,12 @@
     ]
 
     def execute_command(self) -> int:
-        """Compare, and end with 1 where something differs."""
-        named, other = checked(read_object(self.argument("file"))), self.argument("other")
-        if other:
-            before, after = named, checked(read_object(other))
+        """Print the differences; returns ExitCode.DIFFERENT if there are any."""
+        config, other_path = require_valid(read_object(self.argument("file"))), self.argument("other")
+        if other_path:
+            before, after = config, require_valid(read_object(other_path))
         else:
-            before, after = self.client().read(), named
+            before, after = self.client().read_configuration(), config
         changes = compare(before, after)
         lines = [line for change in changes for line in change.lines()]
         self.show({"changes": [change.as_json() for change in changes]}, lines or ["no difference"])
@@ -93,7 +96,7 @@
 
 
 class ConfigGetCommand(FleetCommand):
-    """Read what is in place."""
+    """Reads the newest configuration of the fleet."""
 
     name = "config get"
     description = "Print the newest configuration, or write it to a file. It holds the tenants' keys."
@@ -103,8 +106,8 @@
     ]
 
     def execute_command(self) -> int:
-        """Read, and print or write."""
-        config = self.client().read()
+        """Print the configuration, or write it to the file given by --output."""
+        config = self.client().read_configuration()
         path = self.option("output")
         if not path:
             self.show(config, [json.dumps(config, indent=2, ensure_ascii=False)])
@@ -115,7 +118,7 @@
 
 
 class ConfigApplyCommand(FleetCommand):
-    """Change what is in place."""
+    """Replaces or updates the configuration of the fleet."""
 
     name = "config apply"
     description = "Put a configuration in place; checked first, sent again until there is a clear answer."
@@ -128,39 +131,47 @@
     ]
 
     def execute_command(self) -> int:
-        """Check, send, and wait if asked to."""
+        """Check the file, submit it and, with --wait, wait until all routers have it in force."""
         document, client = read_object(self.argument("file")), self.client()
         update = bool(self.option("update"))
         if not update:
-            checked(document)
+            require_valid(document)
         if self.option("base"):
-            base = whole_number(self.option("base"), "--base")
+            base = parse_whole_number(self.option("base"), "--base")
         else:
-            base = self._version_in_place(update)
+            base = self._current_revision(update)
         kind = OrderKind.UPDATE if update else OrderKind.REPLACE
-        client.order(kind, base, json.dumps(document, separators=(",", ":")).encode())
+        client.submit_change(kind, base, json.dumps(document, separators=(",", ":")).encode())
         revision = int(document["revision"])
-        waited = self._wait(revision) if self.option("wait") else {}
-        where = " at every router" if waited else ""
-        self.show({"revision": revision, "base": base, **waited}, [f"revision {revision} is in force{where}"])
+        wait_result = self._wait_until_in_force(revision) if self.option("wait") else {}
+        scope = " at every router" if wait_result else ""
+        self.show(
+            {"revision": revision, "base": base, **wait_result}, [f"revision {revision} is in force{scope}"]
+        )
         return ExitCode.OK
 
-    def _version_in_place(self, update: bool) -> int:
-        """The newest version; 0 where a fleet that answers has none yet."""
+    def _current_revision(self, update: bool) -> int:
+        """Return the newest revision, 0 if the fleet has no configuration yet.
+
+        For an update it is read from the configuration itself, so one must exist.
+        """
         if update:
-            return int(self.client().read()["revision"])
-        return self.status_from(self.client()).revision
+            return int(self.client().read_configuration()["revision"])
+        return self.fetch_fleet_status(self.client()).revision
+
+    def _wait_until_in_force(self, revision: int) -> dict[str, Any]:
+        """Poll until every router connected to the head of the chain reports at least the revision.
 
-    def _wait(self, revision: int) -> dict[str, Any]:
-        """Wait until every router that is connected to the head reports the revision."""
+        Returns the number of routers; raises ConsoleError with the missing routers at the timeout.
+        """
         client = self.client()
-        until = time.monotonic() + self._patience()
+        deadline = time.monotonic() + self._timeout_seconds()
         while True:
-            status = collect(client.keepers, client.status_of)
-            if status is not None and status.reporting and not status.behind_at(revision):
+            status = collect_status(client.keepers, client.fetch_keeper_status)
+            if status is not None and status.all_routers_reported and not status.routers_behind(revision):
                 return {"routers": len(status.routers)}
-            if time.monotonic() >= until:
-                late = status.behind_at(revision) if status is not None else []
-                names = ", ".join(late) or "routers that have not reported"
-                raise ConsoleError(f"revision {revision} was taken, but is not in force at: {names}")
-            time.sleep(WAIT_POLL_S)
+            if time.monotonic() >= deadline:
+                outdated = status.routers_behind(revision) if status is not None else []
+                names = ", ".join(outdated) or "routers that have not reported"
+                raise ConsoleError(f"revision {revision} was accepted but is not yet in force at: {names}")
+            time.sleep(STATUS_POLL_INTERVAL_S)
--- a/pebbledrift/console/commands/explain.py
+++ b/pebbledrift/console/commands/explain.py
@@ -1,4 +1,4 @@
-"""The command that tells how a request would be routed."""
+"""The `explain` command: shows how a request would be routed."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from cleo.io.inputs.option import Option
 
 from pebbledrift.console.commands.base import FLEET_OPTIONS, FleetCommand
-from pebbledrift.console.commands.config import checked
+from pebbledrift.console.commands.config import require_valid
 from pebbledrift.console.documents import read_object
 from pebbledrift.console.errors import ExitCode
-from pebbledrift.console.explain import Question, explain
+from pebbledrift.console.explain import RouteQuery, explain
 from pebbledrift.router.routes import RoutingTable
 
 
 class ExplainCommand(FleetCommand):
-    """Tell which route, tenant, service and workers a request would get."""
+    """Shows the route, tenant, service and workers that a request would get."""
 
     name = "explain"
     description = "Tell how a request would be routed, and why. Nothing is sent to a worker."
@@ -33,20 +33,24 @@
     ]
 
     def execute_command(self) -> int:
-        """Explain by a file, or by the configuration and the workers in place."""
-        config, instances = self._state()
-        question = Question(
+        """Print the explanation; returns ExitCode.DIFFERENT if no worker would be asked."""
+        config, instances = self._configuration_and_instances()
+        query = RouteQuery(
             self.argument("host"), self.argument("path"), self.option("api-key"), self.option("prefix")
         )
-        found = explain(RoutingTable(config), instances, question)
-        lines = [f"answer {found.status}"] if found.status is not None else []
-        lines += found.steps
-        lines += [f"{rank:3}. {w.instance} at {w.address}" for rank, w in enumerate(found.workers, 1)]
-        self.show(found.as_json(), lines)
-        return ExitCode.OK if found.status is None else ExitCode.DIFFERENT
-
-    def _state(self) -> tuple[dict[str, Any], dict[str, Any]]:
+        explanation = explain(RoutingTable(config), instances, query)
+        lines = [f"answer {explanation.status}"] if explanation.status is not None else []
+        lines += explanation.steps
+        lines += [
+            f"{rank:3}. {worker.instance} at {worker.address}"
+            for rank, worker in enumerate(explanation.workers, 1)
+        ]
+        self.show(explanation.as_json(), lines)
+        return ExitCode.OK if explanation.status is None else ExitCode.DIFFERENT
+
+    def _configuration_and_instances(self) -> tuple[dict[str, Any], dict[str, Any]]:
+        """Return the configuration and the registered workers; with --config, the file and no workers."""
         if self.option("config"):
-            return checked(read_object(self.option("config"))), {}
+            return require_valid(read_object(self.option("config"))), {}
         client = self.client()
-        return client.read(), self.status_from(client).newest["instances"]
+        return client.read_configuration(), self.fetch_fleet_status(client).newest_status["instances"]
--- a/pebbledrift/console/commands/snapshot.py
+++ b/pebbledrift/console/commands/snapshot.py
@@ -1,4 +1,4 @@
-"""Commands that save the control state to a file, verify it and bring it back."""
+"""The `snapshot` commands: save the control state to a file, verify it and restore it."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from pebbledrift.console.commands.base import FLEET_OPTIONS, ConsoleCommand, FleetCommand
 from pebbledrift.console.documents import read_object, write_private
 from pebbledrift.console.errors import ExitCode
-from pebbledrift.console.snapshot import make_snapshot, restored, verified_configuration
+from pebbledrift.console.snapshot import configuration_to_restore, make_snapshot, verified_configuration
 from pebbledrift.control.orders import OrderKind
 
 FILE = argument("file", description="A snapshot.")
 
 
 class SnapshotSaveCommand(FleetCommand):
-    """Save what is in place."""
+    """Saves the newest configuration to a snapshot file."""
 
     name = "snapshot save"
     description = "Save the newest configuration, with a checksum, to a file that only its owner may read."
     arguments: ClassVar[list[Argument]] = [FILE]
 
     def execute_command(self) -> int:
-        """Read at the tail of the chain, and write."""
+        """Read the configuration from the tail of the chain and write the snapshot."""
         client, path = self.client(), self.argument("file")
-        config = client.read()
-        epoch = int(self.status_from(client).newest["epoch"])
+        config = client.read_configuration()
+        epoch = int(self.fetch_fleet_status(client).newest_status["epoch"])
         snapshot = make_snapshot(config, epoch, datetime.now(UTC).isoformat(timespec="seconds"))
         write_private(path, snapshot)
         data = {key: snapshot[key] for key in ("revision", "epoch", "checksum", "taken-at")}
@@ -39,14 +39,14 @@
 
 
 class SnapshotVerifyCommand(ConsoleCommand):
-    """Check a snapshot without a fleet."""
+    """Checks a snapshot file without a fleet."""
 
     name = "snapshot verify"
     description = "Check that a snapshot is whole and would be taken."
     arguments: ClassVar[list[Argument]] = [FILE]
 
     def execute_command(self) -> int:
-        """Read and check."""
+        """Check the format, the checksum and the configuration."""
         path = self.argument("file")
         config = verified_configuration(read_object(path), path)
         self.show({"valid": True, "revision": config["revision"]}, [f"{path}: whole, {config['revision']}"])
@@ -54,7 +54,7 @@
 
 
 class SnapshotRestoreCommand(FleetCommand):
-    """Bring a saved configuration back."""
+    """Puts a saved configuration in force again."""
 
     name = "snapshot restore"
     description = "Put a saved configuration in place, under a version above the one that is."
@@ -65,16 +65,18 @@
     ]
 
     def execute_command(self) -> int:
-        """Verify, number anew, and send."""
+        """Verify the snapshot, assign a new revision and submit it; without --yes only show the plan."""
         path, client = self.argument("file"), self.client()
         saved = verified_configuration(read_object(path), path)
-        status = self.status_from(client)
-        config = restored(saved, status.revision or None)
-        words = f"revision {saved['revision']} of {path} as {config['revision']}, after {status.revision}"
+        status = self.fetch_fleet_status(client)
+        config = configuration_to_restore(saved, status.revision or None)
+        summary = f"revision {saved['revision']} of {path} as {config['revision']}, after {status.revision}"
         data = {"saved": saved["revision"], "base": status.revision, "revision": config["revision"]}
         if not self.option("yes"):
-            self.show({"done": False, **data}, [f"would put {words}: say --yes"])
+            self.show({"done": False, **data}, [f"would put {summary}: say --yes"])
             return ExitCode.DIFFERENT
-        client.order(OrderKind.REPLACE, status.revision, json.dumps(config, separators=(",", ":")).encode())
-        self.show({"done": True, **data}, [f"put {words}"])
+        client.submit_change(
+            OrderKind.REPLACE, status.revision, json.dumps(config, separators=(",", ":")).encode()
+        )
+        self.show({"done": True, **data}, [f"put {summary}"])
         return ExitCode.OK
--- a/pebbledrift/console/commands/status.py
+++ b/pebbledrift/console/commands/status.py
@@ -1,4 +1,4 @@
-"""The command that shows how the fleet stands."""
+"""The `status` command: shows the state of the fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class StatusCommand(FleetCommand):
-    """Show view, chain, versions, workers and quotas."""
+    """Shows the view, chain, revisions, workers and quotas."""
 
     name = "status"
     description = (
@@ -15,7 +15,7 @@
     )
 
     def execute_command(self) -> int:
-        """Ask the keepers and put together what they tell."""
-        status = self.status_from(self.client())
+        """Print the merged status of all keepers; returns ExitCode.DIFFERENT if it is not healthy."""
+        status = self.fetch_fleet_status(self.client())
         self.show(status.as_json(), status.lines())
         return ExitCode.OK if status.healthy else ExitCode.DIFFERENT
--- a/pebbledrift/console/difference.py
+++ b/pebbledrift/console/difference.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, item by item; the tenants' keys are never shown."""
+"""Compares two configurations item by item; the values of tenants' API keys are never shown."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ChangeKind(Enum):
-    """What happened to an item."""
+    """How an item differs between the two configurations."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -23,64 +23,64 @@
 
 @record
 class Change:
-    """One item that differs; `fields` holds before and after of each field, for changed items."""
+    """One differing item; for changed items `fields` maps each differing field to (before, after) texts."""
 
     kind: ChangeKind
-    place: str
+    path: str
     fields: Mapping[str, tuple[str, str]]
 
     def as_json(self) -> dict[str, Any]:
-        """The change as plain values."""
+        """Return the change as values that can be encoded as JSON."""
         fields = {name: {"before": before, "after": after} for name, (before, after) in self.fields.items()}
-        return {"kind": self.kind.value, "place": self.place, "fields": fields}
+        return {"kind": self.kind.value, "place": self.path, "fields": fields}
 
     def lines(self) -> list[str]:
-        """The change as lines of text."""
+        """Return the change as lines of text."""
         sign = {ChangeKind.ADDED: "+", ChangeKind.REMOVED: "-", ChangeKind.CHANGED: "~"}[self.kind]
         rows = [f"    {name}: {before} -> {after}" for name, (before, after) in self.fields.items()]
-        return [f"{sign} {self.place}", *rows]
+        return [f"{sign} {self.path}", *rows]
 
 
 def compare(before: Mapping[str, Any], after: Mapping[str, Any]) -> list[Change]:
-    """All that differs between two configurations, in the order of the sections."""
-    found: list[Change] = []
+    """Return all differences: named items by section first, then the other top-level keys."""
+    changes: list[Change] = []
     for section in NAMED_SECTIONS:
-        found += _compare_named(section, before.get(section) or [], after.get(section) or [])
+        changes += _compare_named_items(section, before.get(section) or [], after.get(section) or [])
     others = [key for key in {**before, **after} if key not in NAMED_SECTIONS]
     for key in others:
         if isinstance(before.get(key), dict) and isinstance(after.get(key), dict):
-            fields = _fields(before[key], after[key])
+            fields = _changed_fields(before[key], after[key])
         else:
-            fields = _fields({key: before.get(key)}, {key: after.get(key)})
+            fields = _changed_fields({key: before.get(key)}, {key: after.get(key)})
         if fields:
-            found.append(Change(ChangeKind.CHANGED, key, fields))
-    return found
+            changes.append(Change(ChangeKind.CHANGED, key, fields))
+    return changes
 
 
-def _compare_named(section: str, before: list[Any], after: list[Any]) -> list[Change]:
+def _compare_named_items(section: str, before: list[Any], after: list[Any]) -> list[Change]:
     old = {item["name"]: item for item in before}
     new = {item["name"]: item for item in after}
-    found = []
+    changes = []
     for name in {**old, **new}:
-        place = f"{section}[{name}]"
+        path = f"{section}[{name}]"
         if name not in new:
-            found.append(Change(ChangeKind.REMOVED, place, {}))
+            changes.append(Change(ChangeKind.REMOVED, path, {}))
         elif name not in old:
-            found.append(Change(ChangeKind.ADDED, place, {}))
-        elif fields := _fields(old[name], new[name]):
-            found.append(Change(ChangeKind.CHANGED, place, fields))
-    return found
+            changes.append(Change(ChangeKind.ADDED, path, {}))
+        elif fields := _changed_fields(old[name], new[name]):
+            changes.append(Change(ChangeKind.CHANGED, path, fields))
+    return changes
 
 
-def _fields(before: Mapping[str, Any], after: Mapping[str, Any]) -> dict[str, tuple[str, str]]:
+def _changed_fields(before: Mapping[str, Any], after: Mapping[str, Any]) -> dict[str, tuple[str, str]]:
     return {
-        key: (_shown(key, before.get(key)), _shown(key, after.get(key)))
+        key: (_display_value(key, before.get(key)), _display_value(key, after.get(key)))
         for key in {**before, **after}
         if before.get(key) != after.get(key)
     }
 
 
-def _shown(key: str, value: object) -> str:
+def _display_value(key: str, value: object) -> str:
     if value is None:
         return "(none)"
     if key in SECRET_FIELDS:
--- a/pebbledrift/console/errors.py
+++ b/pebbledrift/console/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a command, each with the exit code that it stands for."""
+"""Errors that end a command, each with its exit code."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended; the codes are documented in docs/operations/console.md."""
+    """Exit codes of the commands, documented in docs/operations/console.md."""
 
     OK = 0
-    DIFFERENT = 1  # two configurations differ, or some of the fleet is behind
-    INVALID = 2  # the arguments, a file or a configuration are at fault
-    CONFLICT = 3  # another version is in place
-    UNREACHABLE = 4  # no keeper gave a clear answer
+    DIFFERENT = 1  # negative result: configurations differ, fleet unhealthy, no worker, restore not done
+    INVALID = 2  # the arguments, a file or a configuration are invalid
+    CONFLICT = 3  # the change builds on an outdated version
+    UNREACHABLE = 4  # no keeper gave a definitive response
 
 
 class ConsoleError(FleetError):
-    """Base of the errors that end a command."""
+    """Base class of the errors that end a command; `code` is the exit code."""
 
     code = ExitCode.INVALID
 
 
 class DocumentError(ConsoleError):
-    """A file cannot be read; the message names the file, and the line where there is one."""
+    """A file cannot be read or written, or has the wrong format; the message starts with its path."""
 
 
 class FaultyConfiguration(ConsoleError):
-    """A configuration is at fault; `faults` holds one line for each fault, with its place."""
+    """A configuration is invalid; `faults` holds one line per fault, with its position."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("\n".join(faults))
@@ -36,12 +36,12 @@
 
 
 class VersionConflict(ConsoleError):
-    """Another version than the one built on is in place."""
+    """The version that a change builds on is not the current one."""
 
     code = ExitCode.CONFLICT
 
 
-class NoClearAnswer(ConsoleError):
-    """No keeper gave a clear answer in the time allowed."""
+class NoDefinitiveResponse(ConsoleError):
+    """No keeper gave a definitive response before the timeout."""
 
     code = ExitCode.UNREACHABLE
--- a/pebbledrift/console/explain.py
+++ b/pebbledrift/console/explain.py
@@ -1,4 +1,7 @@
-"""How a request would be routed by a configuration and the known workers; nothing is sent to any worker."""
+"""Explains how a request would be routed, from a configuration and the registered workers alone.
+
+Nothing is sent to a worker.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +16,12 @@
 from spoolpier.records import record
 from spoolpier.workers import top
 
-WORKERS_MOST = 12
+MAX_WORKERS = 12
 
 
 @record
-class Question:
-    """The request that is asked about."""
+class RouteQuery:
+    """The properties of a request that decide its routing; `prefix` is X-Pebbledrift-Prompt-Prefix."""
 
     host: str
     path: str
@@ -28,7 +31,7 @@
 
 @record
 class Candidate:
-    """A worker in a key's rendezvous order."""
+    """A worker; `id` and `hash` are the fields by which `spoolpier.workers.top` orders it for a key."""
 
     id: int
     hash: int
@@ -39,9 +42,9 @@
 
 @record
 class Explanation:
-    """What a router would do, and why, in the order of its decisions."""
+    """The routing decision; `steps` gives the reason of each decision in order."""
 
-    status: int | None  # what it would answer without a worker; None where a worker is asked
+    status: int | None  # HTTP status if the router would reject the request; None if a worker would serve it
     steps: tuple[str, ...]
     route: str = ""
     tenant: str = ""
@@ -49,7 +52,7 @@
     workers: tuple[Candidate, ...] = ()
 
     def as_json(self) -> dict[str, Any]:
-        """The explanation as plain values."""
+        """Return the explanation as values that can be encoded as JSON."""
         workers = [
             {"instance": w.instance, "address": w.address, "state": w.state, "rank": rank}
             for rank, w in enumerate(self.workers, 1)
@@ -65,75 +68,79 @@
 
 
 def explain(
-    table: RoutingTable, instances: Mapping[str, Mapping[str, Any]], question: Question
+    table: RoutingTable, instances: Mapping[str, Mapping[str, Any]], query: RouteQuery
 ) -> Explanation:
-    """Follow one request through a configuration."""
-    path = question.path.partition("?")[0]
-    route = table.match(question.host, path)
+    """Explain how a request would be routed; `instances` maps names to the workers' registered state."""
+    path = query.path.partition("?")[0]
+    route = table.match(query.host, path)
     if route is None:
-        return Explanation(404, (f"no route of host {question.host!r} has a prefix that begins {path!r}",))
+        return Explanation(404, (f"no route of host {query.host!r} has a prefix that begins {path!r}",))
     steps = [f"route {route.name!r}: the longest prefix {route.prefix!r} that begins {path!r}"]
-    tenant = table.tenant_of(question.api_key) if question.api_key else None
+    tenant = table.tenant_of(query.api_key) if query.api_key else None
     if table.with_tenants and tenant is None and not route.public:
-        why = "no key" if question.api_key is None else "an unknown key"
-        return Explanation(401, (*steps, f"the route is not public, and the request has {why}"), route.name)
+        reason = "no key" if query.api_key is None else "an unknown key"
+        return Explanation(
+            401, (*steps, f"the route is not public, and the request has {reason}"), route.name
+        )
     steps.append(_tenant_step(table, route, tenant.name if tenant is not None else ""))
-    names = tuple(name for name, _ in route.backends)
+    backends = tuple(name for name, _ in route.backends)
     steps.append(_backend_step(route))
     return Explanation(
         status=None,
-        steps=(*steps, *_attempt_steps(route), _order_step(question.prefix)),
+        steps=(*steps, *_attempt_steps(route), _ordering_step(query.prefix)),
         route=route.name,
         tenant=tenant.name if tenant is not None else "",
-        backends=names,
-        workers=_workers(instances, names, question.prefix),
+        backends=backends,
+        workers=_candidate_workers(instances, backends, query.prefix),
     )
 
 
-def _tenant_step(table: RoutingTable, route: Route, name: str) -> str:
+def _tenant_step(table: RoutingTable, route: Route, tenant_name: str) -> str:
     if not table.with_tenants:
         return "the configuration has no tenants: no key is asked for"
-    if not name:
+    if not tenant_name:
         return "the route is public: no key is needed"
-    tenant = table.tenants[name]
+    tenant = table.tenants[tenant_name]
     priority = route.priority if tenant.priority is None else tenant.priority
     unit = "tokens" if tenant.in_tokens else "requests"
     quota = f"{tenant.rate:g} {unit} a second, burst {tenant.burst:g}" if tenant.limited else "no quota"
-    return f"tenant {name!r}: {quota}, priority {priority}"
+    return f"tenant {tenant_name!r}: {quota}, priority {priority}"
 
 
 def _backend_step(route: Route) -> str:
     if len(route.backends) == 1:
         return f"service {route.backends[0][0]!r}"
-    parts = ", ".join(f"{name!r} weight {weight:g}" for name, weight in route.backends)
-    return f"service drawn by weight from the request's id: {parts}"
+    choices = ", ".join(f"{name!r} weight {weight:g}" for name, weight in route.backends)
+    return f"service drawn by weight from the request's id: {choices}"
 
 
 def _attempt_steps(route: Route) -> list[str]:
-    repeat = (
+    rerun_rule = (
         "may run again" if route.idempotent else "runs at most once: only what did not run goes elsewhere"
     )
     return [
-        f"{route.kind}: {repeat}; at most {route.max_attempts} workers, {route.timeout_ms:g} ms",
+        f"{route.kind}: {rerun_rule}; at most {route.max_attempts} workers, {route.timeout_ms:g} ms",
     ]
 
 
-def _order_step(prefix: str | None) -> str:
+def _ordering_step(prefix: str | None) -> str:
     if prefix and parse_parts(prefix):
         return "of the free workers the one that was last sent the same prefix, ties in the order below"
     return "without a readable prefix the order differs for each request: the workers are listed by name"
 
 
-def _workers(
+def _candidate_workers(
     instances: Mapping[str, Mapping[str, Any]], backends: tuple[str, ...], prefix: str | None
 ) -> tuple[Candidate, ...]:
-    """The ready workers of the services: in the prefix's rendezvous order, or by name without one."""
-    found = []
-    for name, told in sorted(instances.items()):
-        if told["backend"] in backends and told["state"] == InstanceState.READY.name.lower():
-            number = stable_number(name)
-            found.append(Candidate(number, mix(number), name, told["address"], told["state"]))
+    """Return up to MAX_WORKERS ready workers, in the prefix's rendezvous order or else by name."""
+    candidates = []
+    for name, instance in sorted(instances.items()):
+        if instance["backend"] in backends and instance["state"] == InstanceState.READY.name.lower():
+            worker_id = stable_number(name)
+            candidates.append(
+                Candidate(worker_id, mix(worker_id), name, instance["address"], instance["state"])
+            )
     key = routing_key(parse_parts(prefix)) if prefix else None
     if key is None:
-        return tuple(found[:WORKERS_MOST])
-    return tuple(top(found, mix(key), WORKERS_MOST))
+        return tuple(candidates[:MAX_WORKERS])
+    return tuple(top(candidates, mix(key), MAX_WORKERS))
--- a/pebbledrift/console/snapshot.py
+++ b/pebbledrift/console/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the control state as files: the configuration, with a checksum and where it was taken."""
+"""Snapshots of the control state: a configuration with its checksum, epoch and time of saving."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def make_snapshot(config: dict[str, Any], epoch: int, taken_at: str) -> dict[str, Any]:
-    """A snapshot of a configuration that a keeper told."""
+    """Return a snapshot of a configuration read from a keeper; `taken_at` is an ISO 8601 time."""
     return {
         "format": FORMAT,
         "version": VERSION,
@@ -33,16 +33,19 @@
 
 
 def verified_configuration(snapshot: dict[str, Any], path: str) -> dict[str, Any]:
-    """The configuration in a snapshot; raises where it is damaged, or would not be taken."""
+    """Return the configuration in a snapshot.
+
+    Raises DocumentError if the snapshot is damaged, FaultyConfiguration if its configuration is invalid.
+    """
     if snapshot.get("format") != FORMAT:
         raise DocumentError(f"{path}: format: not a snapshot")
     if snapshot.get("version") != VERSION:
-        raise DocumentError(f"{path}: version: {snapshot.get('version')!r} is not known to this program")
+        raise DocumentError(f"{path}: version: {snapshot.get('version')!r} is not supported")
     config = snapshot.get("configuration")
     if not isinstance(config, dict):
         raise DocumentError(f"{path}: configuration: not an object")
     if snapshot.get("checksum") != _checksum(config):
-        raise DocumentError(f"{path}: checksum: the configuration is not the one that was saved")
+        raise DocumentError(f"{path}: checksum: does not match the configuration")
     try:
         check(config)
     except InvalidConfiguration as error:
@@ -50,7 +53,9 @@
     return config
 
 
-def restored(config: dict[str, Any], present: int | None) -> dict[str, Any]:
-    """What is sent to bring a saved configuration back: a version above the one in place."""
-    revision = config["revision"] if present is None else max(config["revision"], present + 1)
+def configuration_to_restore(config: dict[str, Any], current_revision: int | None) -> dict[str, Any]:
+    """Return the configuration with its revision raised, if needed, above the one in force."""
+    revision = (
+        config["revision"] if current_revision is None else max(config["revision"], current_revision + 1)
+    )
     return {**config, "revision": revision}
