--- a/pebbledrift/core/engine.py
+++ b/pebbledrift/core/engine.py
@@ -523,7 +523,7 @@
             case api.WatchList():
                 self.destinations.watch()
             case api.Log(message):
-                log.info("decision module", extra={"text": message})
+                log.info("module", extra={"text": message})
             case api.Tell():
                 log.warning("decision module sent a peer message, but has no peer channel; message dropped")
 
