--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from pebbledrift.verdicts.evidence import Sign
+from pebbledrift.verdicts.evidence import Observation
 from rig.plan import Plan, Step
 from rig.world import Rig
 from tests.panels import World
@@ -112,18 +112,18 @@
 def virtual(given: tuple[int, float, bool, int]) -> dict[str, Any]:
     """The same as `real` in virtual time, with traffic."""
     members, loss, together, seed = given
-    world = World(members, 16, seed, loss, rate=5.0, together=together)
+    world = World(members, 16, seed, loss, rate=5.0, shared_verdicts=together)
     bad = world.workers[3]
     world.network.run(3000)
     quiet = world.network.sent_bytes / members / 3
     began, before = world.network.now, world.network.sent_bytes
-    world.spoil(bad)
-    world.network.until(lambda: len(world.lost) >= 3, 5000)
-    act = world.until_out(bad, members, 20_000) if together else 0.0
+    world.fail_worker(bad)
+    world.network.until(lambda: len(world.failed) >= 3, 5000)
+    act = world.time_until_excluded(bad, members, 20_000) if together else 0.0
     world.network.run(began + 1000 * BAD_S - world.network.now)
     volume = (world.network.sent_bytes - before) / members / BAD_S
     found = {"nodes": members, "loss": loss, "together": together}
-    found |= {"lost": len(world.lost), "act": act / 1000}
+    found |= {"lost": len(world.failed), "act": act / 1000}
     return {**found, "quiet": quiet, "bytes": volume}
 
 
@@ -132,17 +132,19 @@
     seed, hours = given
     world = World(9, 16, seed, 0.1, rate=5.0)
     chance = random.Random(seed)
-    world.fails = lambda now, name, worker: Sign.WORD if chance.random() < 0.002 else Sign.GOOD
+    world.result_of = lambda now, name, worker: (
+        Observation.REPORTED_FAILURE if chance.random() < 0.002 else Observation.SUCCESS
+    )
     out: set[int] = set()
     begun, held = 0, 0.0
     for _ in range(round(hours * 3600 * 4)):
         world.network.run(250)
-        now = {w for w in world.workers if world.out(w)}
+        now = {w for w in world.workers if world.excluded_at(w)}
         begun += len(now - out)
         held += len(now) / 4 / 3600
         out = now
         world.sent.clear()
-        world.lost.clear()
+        world.failed.clear()
     return hours * len(world.workers), begun, held
 
 
@@ -150,14 +152,16 @@
     """CPU of judging once, at a member of 24 of which all speak of three workers; the least of five."""
     world = World(24, 16, 1, rate=8.0)
     bad = set(world.workers[:3])
-    world.fails = lambda now, name, worker: Sign.WORD if worker in bad else Sign.GOOD
+    world.result_of = lambda now, name, worker: (
+        Observation.REPORTED_FAILURE if worker in bad else Observation.SUCCESS
+    )
     world.network.run(4000)
     panel = world.members["m0"].panel
     best = float("inf")
     for _ in range(5):
         began = time.perf_counter()
         for _ in range(50):
-            panel._look(panel._looked)
+            panel._evaluate(panel._evaluated_at)
         best = min(best, (time.perf_counter() - began) / 50)
     return best * 1e6
 
--- a/pebbledrift/node.py
+++ b/pebbledrift/node.py
@@ -194,8 +194,8 @@
             from pebbledrift.verdicts.service import Verdicts
 
             self.judging = Verdicts(self.config.verdicts, group, self.engine, self.pool)
-            self.judging.paused_by_all = self._paused_by_all
-            self.judging.remember(self.store.recall, self.store.remember)
+            self.judging.on_fleet_pause = self._paused_by_all
+            self.judging.restore_commands(self.store.recall, self.store.remember)
         if self.config.fleet_limits is not None:
             from pebbledrift.limits.service import FleetLimits
 
@@ -227,10 +227,10 @@
             async def agree(uid: str, ids: list[int]) -> str:
                 return str((await members.call({"lift": [uid, ids], "by": name}))["result"])
 
-            judging.agree = agree
-            members.agreed.lifted = judging.lifted
+            judging.agree_lift = agree
+            members.agreed.lifted = judging.lift_agreed
             for uid, ids in members.agreed.lifts.items():
-                judging.lifted(uid, ids)
+                judging.lift_agreed(uid, ids)
         await members.start()
 
     async def serve(self) -> None:
@@ -348,7 +348,7 @@
         if uid is not None and uid not in self.pool.fleet_bans and not self.pool.is_known(uid):
             raise NotObeyed("unknown worker")
         try:
-            return await self.judging.speak(uid or "", out)
+            return await self.judging.apply_command(uid or "", out)
         except ValueError as error:
             raise NotObeyed(str(error)) from error
 
@@ -378,7 +378,7 @@
             conf_invalid=figures.conf_invalid,
             more={
                 **(self.membership.figures() if self.membership is not None else {}),
-                **(self.judging.figures() if self.judging is not None else {}),
+                **(self.judging.metrics() if self.judging is not None else {}),
                 **(self.limiting.figures() if self.limiting is not None else {}),
             },
         )
--- a/pebbledrift/verdicts/__init__.py
+++ b/pebbledrift/verdicts/__init__.py
@@ -1,1 +1,1 @@
-"""What the nodes together hold of a worker: evidence, verdicts, trials and operators' words."""
+"""Outlier detection shared by all nodes: evidence on workers, verdicts, trials and operators' commands."""
--- a/pebbledrift/verdicts/evidence.py
+++ b/pebbledrift/verdicts/evidence.py
@@ -1,14 +1,14 @@
-"""What one node saw of the workers itself, and the statement in which it tells the others. No I/O.
+"""Observations that one node makes of the workers, and the statement that reports them. No I/O.
 
-Evidence and verdict are kept apart (docs/verdicts.md). A record is of one worker, in one life of it, and of
-one class of jobs: what came of late, as counts that fade by half each `half_ms`, and the row of failures or
-successes that stands now. Two kinds of failure are told apart: by the worker's own word (it answered that the
-job failed), which whoever asks would get, and on the way (no connection, a break, no answer), which may
-concern the node's own path alone.
+Evidence is kept apart from verdicts (docs/verdicts.md). A record covers one incarnation of one worker and one
+class of jobs: recent results as counts that decay by half every `half_life_ms`, and the current run of
+consecutive failures or successes. Two kinds of failure are distinguished. A reported failure is the worker's
+own answer that the job failed, which any node would get. A path failure (no connection, a broken connection,
+no answer) may concern only the network path of the observing node.
 
-A statement holds all that a node has to say: a later one takes the earlier one's place, so that it may be
-lost, doubled or overtaken and is still counted once. Times are ms of a clock that never goes back; on the
-wire they are ages.
+A statement holds everything that a node currently reports. A later statement replaces an earlier one, so
+lost, duplicated and reordered statements are still counted once. Times are in ms of a monotonic clock;
+statements carry ages instead.
 """
 
 from __future__ import annotations
@@ -19,225 +19,252 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-REACH = 0xFF  # in the place of a class: whether the worker can be reached at all
-RECORDS_MOST = 4096
-COUNT_MOST = 63.0  # of a faded count, in a statement
-RUN_MOST = 15
-AGE_LEAST_MS, AGE_STEP = 20.0, 1.034  # an age is told to 20 ms and three parts in a hundred, up to 97 s
-LIFE_UNIT_MS = 10.0
-OLD = 0xFF  # an age that is no longer told
-TRYING, BY_WORD = 1, 2  # flags of an entry
+REACHABILITY = 0xFF  # pseudo job class: whether the worker can be reached at all
+MAX_RECORDS = 4096
+MAX_COUNT = 63.0  # largest decayed count that a statement can carry
+MAX_RUN = 15  # a run is sent in 4 bits
+# Ages are sent on a logarithmic scale: exact to 20 ms plus about 3%, up to 97 s.
+AGE_UNIT_MS, AGE_GROWTH = 20.0, 1.034
+INCARNATION_UNIT_MS = 10.0
+AGE_UNKNOWN = 0xFF  # stands for ages beyond the scale, and for events that never happened
+TRIAL_FLAG, REPORTED_FLAG = 1, 2  # bits of the flags byte of an entry
 
 
-class Sign(IntEnum):
-    """What an attempt, or a try to connect, has shown."""
+class Observation(IntEnum):
+    """The result of one attempt or of one connection attempt."""
 
-    GOOD = 0
-    SLOW = 1  # served, after several times what it should have taken
-    WORD = 2  # failed, by the worker's own word
-    PATH = 3  # failed, and it may have been the way
+    SUCCESS = 0
+    SLOW = 1  # served, but it took several times as long as expected
+    REPORTED_FAILURE = 2  # the worker answered that the job failed
+    PATH_FAILURE = 3  # no usable answer; the network path may be the cause
 
 
-def short(worker: int) -> int:
-    """A worker's number on the wire."""
+def wire_id(worker: int) -> int:
+    """Return the number that identifies a worker in statements: the low 32 bits."""
     return worker & 0xFFFFFFFF
 
 
-def life_of(started_ms: float) -> int:
-    """A worker's life, by when it started; 0: long ago."""
-    return int(started_ms // LIFE_UNIT_MS) & 0xFFFFFFFFFF
+def incarnation_of(started_ms: float) -> int:
+    """Return the incarnation of a worker by its start time; 0 stands for a start long ago."""
+    return int(started_ms // INCARNATION_UNIT_MS) & 0xFFFFFFFFFF
 
 
 @dataclass(slots=True)
 class Record:
-    """What was seen of one worker and class. Counts are of the time `at`."""
-
-    life: int
-    at: float
-    goods: float = 0.0
-    fails: float = 0.0
-    slows: float = 0.0
-    good_run: int = 0  # in a row, since the last failure
-    fail_run: int = 0  # in a row, since the last success
-    by_word: bool = False  # one of these at least was the worker's own word
-    good_at: float = -math.inf
-    fail_at: float = -math.inf
-    onset: float = -math.inf  # of the first failure in the row
-    trying: bool = False  # this node is the one that tries the worker now
-
-    def see(self, sign: Sign, now: float, half_ms: float) -> None:
-        """One more sign."""
-        fade = 0.5 ** ((now - self.at) / half_ms)
-        self.goods, self.fails, self.slows = self.goods * fade, self.fails * fade, self.slows * fade
-        self.at = now
-        if sign in (Sign.GOOD, Sign.SLOW):
-            self.goods += 1
-            self.slows += sign is Sign.SLOW
-            self.good_run = min(RUN_MOST, self.good_run + 1)
-            self.good_at, self.fail_run, self.by_word = now, 0, False
+    """Observations of one worker and class. The counts are decayed to the time `updated_at`."""
+
+    incarnation: int
+    updated_at: float
+    successes: float = 0.0
+    failures: float = 0.0
+    slow_successes: float = 0.0
+    success_run: int = 0  # consecutive successes since the last failure
+    failure_run: int = 0  # consecutive failures since the last success
+    reported: bool = False  # at least one failure of the run was reported by the worker
+    last_success_at: float = -math.inf
+    last_failure_at: float = -math.inf
+    run_started_at: float = -math.inf  # time of the first failure of the run
+    under_trial: bool = False  # this node currently sends trial requests to the worker
+
+    def observe(self, observation: Observation, now: float, half_life_ms: float) -> None:
+        """Decay the counts to `now` and add one observation."""
+        decay = 0.5 ** ((now - self.updated_at) / half_life_ms)
+        self.successes, self.failures, self.slow_successes = (
+            self.successes * decay,
+            self.failures * decay,
+            self.slow_successes * decay,
+        )
+        self.updated_at = now
+        if observation in (Observation.SUCCESS, Observation.SLOW):
+            self.successes += 1
+            self.slow_successes += observation is Observation.SLOW
+            self.success_run = min(MAX_RUN, self.success_run + 1)
+            self.last_success_at, self.failure_run, self.reported = now, 0, False
         else:
-            if self.fail_run == 0:
-                self.onset, self.by_word = now, False
-            self.fails += 1
-            self.fail_run = min(RUN_MOST, self.fail_run + 1)
-            self.fail_at, self.good_run = now, 0
-            self.by_word = self.by_word or sign is Sign.WORD
+            if self.failure_run == 0:
+                self.run_started_at, self.reported = now, False
+            self.failures += 1
+            self.failure_run = min(MAX_RUN, self.failure_run + 1)
+            self.last_failure_at, self.success_run = now, 0
+            self.reported = self.reported or observation is Observation.REPORTED_FAILURE
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A record as it is told: ages in place of times, counts as of the telling."""
+    """A record as sent in a statement: ages in ms instead of times, counts decayed to the time of sending."""
 
-    worker: int  # short
+    worker: int  # as returned by wire_id()
     job_class: int
-    life: int
-    goods: float
-    fails: float
-    slows: float
-    good_run: int
-    fail_run: int
-    good_age: float  # ms; inf: never, or long ago
-    fail_age: float
-    onset_age: float
-    by_word: bool = False
-    trying: bool = False
+    incarnation: int
+    successes: float
+    failures: float
+    slow_successes: float
+    success_run: int
+    failure_run: int
+    success_age: float  # ms; inf if it never happened or is too long ago
+    failure_age: float
+    run_age: float  # since the first failure of the run
+    reported: bool = False
+    under_trial: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """All that one node has to say. `seen` and `ill` tell how many workers it had to do with of late, and how
-    many of these failed it: whoever sees most of them fail may be at fault itself.
+    """Everything that one node reports at a time.
+
+    `seen` is the number of workers that the node used recently and `failing` the number of those that failed
+    last. A node at which most workers fail may be at fault itself.
     """
 
     name: str
-    life: int  # of the node, a tag of 16 bits
-    number: int
-    age_ms: float  # since it was made
+    incarnation: int  # of the node, 16 bits
+    number: int  # increases with each statement of the node
+    age_ms: float  # since the statement was made
     seen: int
-    ill: int
+    failing: int
     entries: tuple[Entry, ...] = ()
 
 
-_HEAD = struct.Struct("!BHIHBB")  # length of the name, life, number, age, seen, ill
+_HEAD = struct.Struct("!BHIHBB")  # length of the name, incarnation, number, age, seen, failing
 _ENTRY = struct.Struct("!IB5sBBBBBBBB")
 ENTRY_BYTES = _ENTRY.size
 
 
 class BadStatement(ValueError):
-    """Bytes that are no statement."""
+    """The bytes do not form a valid statement."""
 
 
-def _age(ms: float) -> int:
+def _encode_age(ms: float) -> int:
     if ms == math.inf:
-        return OLD
-    return min(OLD, int(math.log(1 + max(0.0, ms) / AGE_LEAST_MS) / math.log(AGE_STEP) + 0.5))
-
-
-def _ms(age: int) -> float:
-    return AGE_LEAST_MS * (AGE_STEP**age - 1) if age < OLD else math.inf
-
-
-def pack(told: Statement, most: int) -> bytes:
-    """A statement in at most so many bytes; entries that find no room are left out, the last first."""
-    name = told.name.encode()
-    age = min(0xFFFF, int(max(0.0, told.age_ms)))
-    head = _HEAD.pack(len(name), told.life, told.number, age, min(0xFF, told.seen), min(0xFF, told.ill))
+        return AGE_UNKNOWN
+    return min(AGE_UNKNOWN, int(math.log(1 + max(0.0, ms) / AGE_UNIT_MS) / math.log(AGE_GROWTH) + 0.5))
+
+
+def _decode_age(age: int) -> float:
+    return AGE_UNIT_MS * (AGE_GROWTH**age - 1) if age < AGE_UNKNOWN else math.inf
+
+
+def pack(statement: Statement, max_bytes: int) -> bytes:
+    """Encode a statement in at most `max_bytes`; entries that do not fit are dropped from the end."""
+    name = statement.name.encode()
+    age = min(0xFFFF, int(max(0.0, statement.age_ms)))
+    head = _HEAD.pack(
+        len(name),
+        statement.incarnation,
+        statement.number,
+        age,
+        min(0xFF, statement.seen),
+        min(0xFF, statement.failing),
+    )
     data = head + name
-    for e in told.entries[: (most - len(data)) // _ENTRY.size]:
-        flags = TRYING * e.trying | BY_WORD * e.by_word
-        counts = (min(0xFF, round(min(COUNT_MOST, c) * 4)) for c in (e.goods, e.fails, e.slows))
-        ages = map(_age, (e.good_age, e.fail_age, e.onset_age))
-        runs = min(RUN_MOST, e.good_run) << 4 | min(RUN_MOST, e.fail_run)
-        life = e.life.to_bytes(5, "big")
-        data += _ENTRY.pack(e.worker, e.job_class, life, flags, *counts, runs, *ages)
+    for entry in statement.entries[: (max_bytes - len(data)) // _ENTRY.size]:
+        flags = TRIAL_FLAG * entry.under_trial | REPORTED_FLAG * entry.reported
+        counts = (
+            min(0xFF, round(min(MAX_COUNT, count) * 4))
+            for count in (entry.successes, entry.failures, entry.slow_successes)
+        )
+        ages = map(_encode_age, (entry.success_age, entry.failure_age, entry.run_age))
+        runs = min(MAX_RUN, entry.success_run) << 4 | min(MAX_RUN, entry.failure_run)
+        incarnation = entry.incarnation.to_bytes(5, "big")
+        data += _ENTRY.pack(entry.worker, entry.job_class, incarnation, flags, *counts, runs, *ages)
     return data
 
 
 def unpack(data: bytes) -> Statement:
-    """The statement in some bytes; BadStatement where there is none."""
+    """Decode a statement. Raises BadStatement if the bytes are malformed."""
     try:
-        length, life, number, age, seen, ill = _HEAD.unpack_from(data)
-        at = _HEAD.size + length
-        name = data[_HEAD.size : at].decode()
-        if not length or len(name.encode()) != length or (len(data) - at) % _ENTRY.size:
-            raise BadStatement("not of this form")
+        name_bytes, incarnation, number, age, seen, failing = _HEAD.unpack_from(data)
+        entries_offset = _HEAD.size + name_bytes
+        name = data[_HEAD.size : entries_offset].decode()
+        if not name_bytes or len(name.encode()) != name_bytes or (len(data) - entries_offset) % _ENTRY.size:
+            raise BadStatement("malformed statement: invalid name or entry length")
         entries = []
-        for start in range(at, len(data), _ENTRY.size):
-            worker, job_class, of, flags, goods, fails, slows, runs, *ages = _ENTRY.unpack_from(data, start)
-            good, fail, onset = map(_ms, ages)
+        for start in range(entries_offset, len(data), _ENTRY.size):
+            worker, job_class, incarnation_bytes, flags, successes, failures, slow_successes, runs, *ages = (
+                _ENTRY.unpack_from(data, start)
+            )
+            success_age, failure_age, run_age = map(_decode_age, ages)
             entries.append(
                 Entry(
-                    worker, job_class, int.from_bytes(of, "big"), goods / 4, fails / 4, slows / 4,
-                    runs >> 4, runs & 0xF, good, fail, onset, bool(flags & BY_WORD), bool(flags & TRYING),
+                    worker, job_class, int.from_bytes(incarnation_bytes, "big"),
+                    successes / 4, failures / 4, slow_successes / 4, runs >> 4, runs & 0xF,
+                    success_age, failure_age, run_age, bool(flags & REPORTED_FLAG), bool(flags & TRIAL_FLAG),
                 )
             )  # fmt: skip
-        return Statement(name, life, number, float(age), seen, ill, tuple(entries))
+        return Statement(name, incarnation, number, float(age), seen, failing, tuple(entries))
     except (struct.error, UnicodeDecodeError) as error:
         raise BadStatement(str(error)) from error
 
 
 class Evidence:
-    """All that one node saw. `half_ms`: the time in which a count fades by half."""
+    """All observations of one node. Counts decay by half every `half_life_ms`."""
 
-    def __init__(self, half_ms: float) -> None:
-        self.half_ms = half_ms
+    def __init__(self, half_life_ms: float) -> None:
+        self.half_life_ms = half_life_ms
         self.records: dict[tuple[int, int], Record] = {}
-        self.lives: dict[int, int] = {}  # of the workers that are listed
-        self.dropped = 0  # signs of workers that nobody lists, or of a life that is over
+        self.incarnations: dict[int, int] = {}  # by worker, for the workers that are listed
+        self.dropped = 0  # observations of unlisted workers or of past incarnations
 
-    def listed(self, lives: dict[int, int]) -> None:
-        """The workers there are; what was seen of an earlier life says nothing of the present one."""
-        self.lives = lives
-        gone = [key for key, record in self.records.items() if lives.get(key[0]) != record.life]
+    def update_workers(self, incarnations: dict[int, int]) -> None:
+        """Set the listed workers and drop the records of unlisted workers and of past incarnations."""
+        self.incarnations = incarnations
+        gone = [key for key, record in self.records.items() if incarnations.get(key[0]) != record.incarnation]
         for key in gone:
             del self.records[key]
 
-    def see(self, worker: int, life: int, job_class: int, sign: Sign, now: float) -> Record | None:
-        """One sign of a worker, in the life in which it was asked; None where it is dropped."""
-        if self.lives.get(worker) != life or not 0 <= job_class <= REACH:
+    def observe(
+        self, worker: int, incarnation: int, job_class: int, observation: Observation, now: float
+    ) -> Record | None:
+        """Add an observation of the incarnation that the attempt went to. Returns None if it is dropped."""
+        if self.incarnations.get(worker) != incarnation or not 0 <= job_class <= REACHABILITY:
             self.dropped += 1
             return None
-        if sign is not Sign.PATH and job_class != REACH:
-            self._see(worker, life, REACH, Sign.GOOD, now)  # whoever answers can be reached
-        return self._see(worker, life, job_class, sign, now)
-
-    def _see(self, worker: int, life: int, job_class: int, sign: Sign, now: float) -> Record:
+        if observation is not Observation.PATH_FAILURE and job_class != REACHABILITY:
+            # A worker that answers is reachable, whatever it answers.
+            self._observe(worker, incarnation, REACHABILITY, Observation.SUCCESS, now)
+        return self._observe(worker, incarnation, job_class, observation, now)
+
+    def _observe(
+        self, worker: int, incarnation: int, job_class: int, observation: Observation, now: float
+    ) -> Record:
         key = worker, job_class
         record = self.records.get(key)
         if record is None:
-            if len(self.records) >= RECORDS_MOST:  # guards memory: the one that was seen longest ago goes
-                del self.records[min(self.records, key=lambda k: self.records[k].at)]
-            record = self.records[key] = Record(life, now)
-        record.see(sign, now, self.half_ms)
+            if len(self.records) >= MAX_RECORDS:  # bounds memory: evict the least recently updated record
+                del self.records[min(self.records, key=lambda k: self.records[k].updated_at)]
+            record = self.records[key] = Record(incarnation, now)
+        record.observe(observation, now, self.half_life_ms)
         return record
 
     def forget_failures(self) -> None:
-        """This node was itself at fault: what failed meanwhile says nothing of any worker."""
+        """Drop all failures, after a fault of this node itself: they say nothing about the workers."""
         for record in self.records.values():
-            record.fails = record.slows = 0.0
-            record.fail_run, record.by_word = 0, False
-            record.fail_at = record.onset = -math.inf
+            record.failures = record.slow_successes = 0.0
+            record.failure_run, record.reported = 0, False
+            record.last_failure_at = record.run_started_at = -math.inf
 
     def health(self, now: float, since_ms: float) -> tuple[int, int]:
-        """How many workers this node had to do with of late, and how many of these failed it last."""
+        """Return how many workers this node used in the last `since_ms`, and how many of them failed last."""
         seen: set[int] = set()
-        ill: set[int] = set()
+        failing: set[int] = set()
         for (worker, _), record in self.records.items():
-            if now - max(record.good_at, record.fail_at) <= since_ms:
+            if now - max(record.last_success_at, record.last_failure_at) <= since_ms:
                 seen.add(worker)
-                if record.fail_run:
-                    ill.add(worker)
-        return len(seen), len(ill)
+                if record.failure_run:
+                    failing.add(worker)
+        return len(seen), len(failing)
 
     def entry(self, key: tuple[int, int], now: float) -> Entry:
-        """A record as it is told now."""
+        """Return the record of a worker and class in the form that statements carry at `now`."""
         r = self.records[key]
-        fade = 0.5 ** ((now - r.at) / self.half_ms)
+        decay = 0.5 ** ((now - r.updated_at) / self.half_life_ms)
         return Entry(
-            short(key[0]), key[1], r.life, r.goods * fade, r.fails * fade, r.slows * fade,
-            r.good_run, r.fail_run, now - r.good_at, now - r.fail_at, now - r.onset, r.by_word, r.trying,
+            wire_id(key[0]), key[1], r.incarnation,
+            r.successes * decay, r.failures * decay, r.slow_successes * decay, r.success_run, r.failure_run,
+            now - r.last_success_at, now - r.last_failure_at, now - r.run_started_at,
+            r.reported, r.under_trial,
         )  # fmt: skip
 
     def entries(self, keys: Iterable[tuple[int, int]], now: float) -> tuple[Entry, ...]:
-        """Those of some records that there are."""
+        """Return the entries of those `keys` that have a record."""
         return tuple(self.entry(key, now) for key in keys if key in self.records)
--- a/pebbledrift/verdicts/panel.py
+++ b/pebbledrift/verdicts/panel.py
@@ -1,9 +1,9 @@
-"""One node's part in the verdicts of all: its evidence, others' statements, trials, what is told. No I/O.
+"""One node's part in the shared verdicts: its evidence, other nodes' statements, trials, gossip. No I/O.
 
-Every call takes the time in ms of a clock that never goes back. `tick` is due every few dozen ms and returns
-what has to be sent: names of members, and a body for each. Statements go straight to all members of a small
-group, and by way of a few drawn at random in a large one; what was lost is made up for by statements that
-members pass on now and then, so that one who hears only some of the others hears of all.
+Every call takes the time in ms of a monotonic clock. `tick` is due every few tens of ms and returns the
+datagrams to send: the names of members and one body for them. In a small group a statement goes directly to
+all members, in a large one to a random few that forward it. Members also relay others' statements from time
+to time. This makes up for losses, and a member that can reach only some of the others still learns of all.
 """
 
 from __future__ import annotations
@@ -19,393 +19,487 @@
     BadStatement,
     Entry,
     Evidence,
+    Observation,
     Record,
-    Sign,
     Statement,
-    life_of,
+    incarnation_of,
     pack,
-    short,
     unpack,
+    wire_id,
 )
 from pebbledrift.verdicts.verdict import (
-    Evident,
+    NodeEvidence,
     Rules,
     Verdict,
     Word,
-    capped,
+    delay_before_trial_ms,
     judge,
-    try_after_ms,
+    limit_exclusions,
 )
 
-NEWBORN = 0xFE  # in the place of a class: an entry that tells of a worker's start and of nothing else
-Key = tuple[int, int]  # worker and class; the worker by its number on the wire
+START_ENTRY = 0xFE  # pseudo job class of an entry that reports only the start of a worker
+Key = tuple[int, int]  # worker, as returned by wire_id(), and job class
 Sends = list[tuple[tuple[str, ...], bytes]]
 
 
 @dataclass(frozen=True, slots=True)
-class Ways:
-    """How statements travel. Times in ms."""
-
-    gather: float = 20.0  # between a sign and its telling: what comes together is told together
-    least: float = 60.0  # between two statements of one node
-    again: tuple[float, ...] = (70.0, 210.0)  # after which a statement is sent once more: some are lost
-    refresh: float = 1500.0  # a statement that others rest on is told anew
-    trying: float = 400.0  # the same while its node tries a worker
-    relay: float = 1000.0  # between statements of others that are passed on,
-    relay_news: float = 200.0  # and while a verdict is younger than this many of them
-    news: int = 10
-    expire: float = 6000.0  # a statement that was not made anew says nothing any more
-    direct: int = 32  # a group up to this size is told directly
-    fan: int = 6  # members of a larger one that are told, who tell as many
-    entries: int = 9  # of one statement: what finds room in a datagram
-    newborn: int = 3  # of these, for workers that started lately
-    lift: float = 1500.0  # for which one node may try a worker
-    takeover: float = 1.2  # of these, that each further one in the order waits
+class GossipSettings:
+    """Settings of how statements are disseminated."""
+
+    gather_ms: float = 20.0  # from an observation to its statement, to batch observations
+    min_interval_ms: float = 60.0  # between two new statements of one node
+    resend_after_ms: tuple[float, ...] = (70.0, 210.0)  # a statement is repeated, since datagrams get lost
+    refresh_ms: float = 1500.0  # a statement with entries is renewed at this interval
+    trial_refresh_ms: float = 400.0  # the same while the node runs a trial
+    relay_ms: float = 1000.0  # between two relays of others' statements
+    relay_fresh_ms: float = 200.0  # the same while there is a fresh verdict
+    fresh_factor: int = 10  # a verdict is fresh for this many times `relay_fresh_ms`
+    expire_ms: float = 6000.0  # a statement that is not renewed is dropped after this
+    max_direct_members: int = 32  # up to this many other members, statements go directly to all
+    fanout: int = 6  # in a larger group, the members that each sender or forwarder sends to
+    max_entries: int = 9  # of one statement, so that it fits in a datagram
+    max_start_entries: int = 3  # of these, for workers that started recently
+    trial_ms: float = 1500.0  # duration for which one node may send trial requests to a worker
+    takeover_factor: float = 1.2  # the delay of each further node in the trial order, in units of `trial_ms`
 
 
 @dataclass(slots=True)
-class Heard:
-    """Another node's last statement. `made`: when, by the clock here."""
+class PeerStatement:
+    """The latest statement of another node, and when it was made by the local clock."""
 
-    told: Statement
-    made: float
-    passed: int = 0  # how often it was sent on
+    statement: Statement
+    made_at: float
+    forwarded: int = 0  # how often this node has forwarded it
 
 
 @dataclass(slots=True)
-class Ruling:
-    """A verdict that stands here, and since when."""
+class StandingVerdict:
+    """A verdict in force at this node, and the time since which its level has been the same."""
 
     verdict: Verdict
     since: float
 
 
 class Panel:
-    """One member. `life`: a tag of 16 bits that tells its lives apart."""
-
-    def __init__(self, name: str, life: int, most: int, rules: Rules, ways: Ways, seed: int) -> None:
-        self.name, self.life, self.most = name, life & 0xFFFF, most
-        self.rules, self.ways = rules, ways
+    """One member's evidence and verdicts. The lower 16 bits of `incarnation` tell its restarts apart."""
+
+    def __init__(
+        self,
+        name: str,
+        incarnation: int,
+        max_statement_bytes: int,
+        rules: Rules,
+        gossip: GossipSettings,
+        seed: int,
+    ) -> None:
+        self.name, self.incarnation, self.max_statement_bytes = (
+            name,
+            incarnation & 0xFFFF,
+            max_statement_bytes,
+        )
+        self.rules, self.gossip = rules, gossip
         self.random = random.Random(seed)
-        self.evidence = Evidence(rules.half_ms)
-        self.heard: dict[str, Heard] = {}
-        self.members: tuple[str, ...] = ()  # the others that answer
-        self.workers: dict[int, int] = {}  # by number on the wire, the number
-        self.lives: dict[int, int] = {}  # by number on the wire
-        self.cold: dict[int, int] = {}  # of workers that started lately, the life
-        self.rulings: dict[Key, Ruling] = {}
-        self.out: set[int] = set()  # workers that are left alone by verdict, by number on the wire
-        self.trying: dict[Key, float] = {}  # until when this node tries
-        self.dropped = 0  # statements that could not be read, or were absurd
-        self.told = 0  # statements made
-        self.may_try = True
+        self.evidence = Evidence(rules.half_life_ms)
+        self.peer_statements: dict[str, PeerStatement] = {}
+        self.members: tuple[str, ...] = ()  # the other members that respond
+        self.workers: dict[int, int] = {}  # by wire_id(), the full number
+        self.incarnations: dict[int, int] = {}  # by wire_id()
+        self.cold: dict[int, int] = {}  # by wire_id(), the incarnation of workers that started recently
+        self.standing_verdicts: dict[Key, StandingVerdict] = {}
+        self.excluded: set[int] = set()  # workers excluded by verdict, by wire_id()
+        self.trials: dict[Key, float] = {}  # end of each trial that this node runs
+        self.dropped = 0  # malformed statements
+        self.statements_made = 0
+        self.trials_allowed = True
         self._number = 0
-        self._due = math.inf  # when the next statement of its own is made
-        self._made = -math.inf
-        self._again: list[float] = []
-        self._relayed = -math.inf
-        self._last: Statement | None = None
-        self._dirty = False
-        self._looked = -math.inf
-
-    # -- what happens
-
-    def listed(self, started_ms: Mapping[int, float], cold: set[int]) -> None:
-        """The workers there are, by when they started; of these, the ones that did lately."""
-        lives = {worker: life_of(at) for worker, at in started_ms.items()}
-        self.evidence.listed(lives)
-        self.workers = {short(worker): worker for worker in lives}
-        self.lives = {short(worker): life for worker, life in lives.items()}
-        self.cold = {short(w): lives[w] for w in cold if lives[w]}
-        for key in [k for k in self.trying if k[0] not in self.lives]:
-            del self.trying[key]
-        self._dirty = True
-
-    def see(self, now: float, worker: int, started_ms: float, job_class: int, sign: Sign) -> None:
-        """A sign of a worker that this node saw itself."""
-        before = self.evidence.records.get((worker, job_class))
-        was_failing = before is not None and before.fail_run > 0
-        if self.evidence.see(worker, life_of(started_ms), job_class, sign, now) is None:
+        self._next_statement_at = math.inf  # when this node makes its next statement
+        self._last_statement_at = -math.inf
+        self._resend_times: list[float] = []
+        self._last_relay_at = -math.inf
+        self._last_statement: Statement | None = None
+        self._needs_evaluation = False
+        self._evaluated_at = -math.inf
+
+    # -- events
+
+    def update_workers(self, started_ms: Mapping[int, float], cold: set[int]) -> None:
+        """Set the listed workers by their start time, and which of them are cold (started recently)."""
+        incarnations = {worker: incarnation_of(at) for worker, at in started_ms.items()}
+        self.evidence.update_workers(incarnations)
+        self.workers = {wire_id(worker): worker for worker in incarnations}
+        self.incarnations = {wire_id(worker): incarnation for worker, incarnation in incarnations.items()}
+        self.cold = {wire_id(w): incarnations[w] for w in cold if incarnations[w]}
+        for key in [k for k in self.trials if k[0] not in self.incarnations]:
+            del self.trials[key]
+        self._needs_evaluation = True
+
+    def observe(
+        self, now: float, worker: int, started_ms: float, job_class: int, observation: Observation
+    ) -> None:
+        """Add an observation that this node made itself."""
+        record = self.evidence.records.get((worker, job_class))
+        was_failing = record is not None and record.failure_run > 0
+        if self.evidence.observe(worker, incarnation_of(started_ms), job_class, observation, now) is None:
             return
-        key = short(worker), job_class
-        failed = sign in (Sign.WORD, Sign.PATH)
+        key = wire_id(worker), job_class
+        failed = observation in (Observation.REPORTED_FAILURE, Observation.PATH_FAILURE)
         if failed:
-            self._stop_trying(key)
-        self._dirty = True
-        if failed or sign is Sign.SLOW or was_failing or self._disputed(key):
-            self._due = min(self._due, max(now + self.ways.gather, self._made + self.ways.least))
-
-    def stopped(self, now: float) -> None:
-        """This node was stopped: what failed meanwhile was its own fault; what it may try is another's."""
+            self._stop_trial(key)
+        self._needs_evaluation = True
+        if failed or observation is Observation.SLOW or was_failing or self._is_contested(key):
+            self._next_statement_at = min(
+                self._next_statement_at,
+                max(now + self.gossip.gather_ms, self._last_statement_at + self.gossip.min_interval_ms),
+            )
+
+    def recovered_from_stall(self, now: float) -> None:
+        """Drop failures and trials after this process was stopped.
+
+        The failures were its own fault, and other nodes may have taken over its trials.
+        """
         self.evidence.forget_failures()
-        self._put_down()
-        self._dirty = True
-        self._due = now + self.ways.gather
+        self._stop_all_trials()
+        self._needs_evaluation = True
+        self._next_statement_at = now + self.gossip.gather_ms
 
     def received(self, now: float, body: bytes) -> None:
-        """A statement, from whoever made it or passed it on. BadStatement where it cannot be read."""
+        """Take in a statement, from its author or a forwarder. Raises BadStatement if it is malformed."""
         try:
-            told = unpack(body)
+            statement = unpack(body)
         except BadStatement:
             self.dropped += 1
             raise
-        if told.name == self.name:
+        if statement.name == self.name:
             return
-        made = now - told.age_ms
-        known = self.heard.get(told.name)
-        if known is not None:
-            same = known.told.life == told.life
-            # counted once, however often and in whatever order it comes
-            if (same and told.number <= known.told.number) or (not same and made <= known.made):
+        made_at = now - statement.age_ms
+        previous = self.peer_statements.get(statement.name)
+        if previous is not None:
+            same_incarnation = previous.statement.incarnation == statement.incarnation
+            # Ignore duplicates and statements that arrive out of order.
+            if (same_incarnation and statement.number <= previous.statement.number) or (
+                not same_incarnation and made_at <= previous.made_at
+            ):
                 return
-        elif len(self.heard) >= 4096 or told.age_ms > self.ways.expire:
+        elif len(self.peer_statements) >= 4096 or statement.age_ms > self.gossip.expire_ms:
             return
-        self.heard[told.name] = Heard(told, made)
-        self._dirty = True
+        self.peer_statements[statement.name] = PeerStatement(statement, made_at)
+        self._needs_evaluation = True
 
     # -- time
 
     def tick(self, now: float, members: tuple[str, ...]) -> Sends:
-        """Time has gone on. `members`: the others that answer."""
+        """Do what is due at `now`. `members` are the other members that respond."""
         self.members = members
-        for name in [n for n, h in self.heard.items() if now - h.made > self.ways.expire]:
-            del self.heard[name]
-            self._dirty = True
-        for key in [k for k, until in self.trying.items() if now >= until]:
-            self._stop_trying(key)
-        if self._dirty or now - self._looked >= 100.0:
-            self._look(now)
+        for name in [
+            n for n, peer in self.peer_statements.items() if now - peer.made_at > self.gossip.expire_ms
+        ]:
+            del self.peer_statements[name]
+            self._needs_evaluation = True
+        for key in [k for k, until in self.trials.items() if now >= until]:
+            self._stop_trial(key)
+        if self._needs_evaluation or now - self._evaluated_at >= 100.0:
+            self._evaluate(now)
         self._begin_trials(now)
-        return [*self._tell(now), *self._pass_on(now)]
-
-    def _look(self, now: float) -> None:
-        """Judge all that there is evidence of."""
-        self._dirty, self._looked = False, now
-        found: dict[Key, list[Evident]] = defaultdict(list)
-        well = self._believed(*self._health(now))
-        for name, heard in self._voices():
-            believed = self._believed(heard.told.seen, heard.told.ill)
-            for entry in heard.told.entries:
-                if entry.job_class != NEWBORN and self.lives.get(entry.worker) == entry.life:
-                    found[entry.worker, entry.job_class].append(
-                        Evident(name, _older(entry, now - heard.made), believed)
+        return [*self._own_sends(now), *self._relay_sends(now)]
+
+    def _evaluate(self, now: float) -> None:
+        """Judge all workers and classes for which there is evidence."""
+        self._needs_evaluation, self._evaluated_at = False, now
+        evidence_by_key: dict[Key, list[NodeEvidence]] = defaultdict(list)
+        own_credible = self._is_credible(*self._health(now))
+        for name, peer in self._member_statements():
+            credible = self._is_credible(peer.statement.seen, peer.statement.failing)
+            for entry in peer.statement.entries:
+                if (
+                    entry.job_class != START_ENTRY
+                    and self.incarnations.get(entry.worker) == entry.incarnation
+                ):
+                    evidence_by_key[entry.worker, entry.job_class].append(
+                        NodeEvidence(name, _aged(entry, now - peer.made_at), credible)
                     )
         for (number, job_class), record in self.evidence.records.items():
-            # what nobody has seen fail needs no judging
-            if record.fail_run or record.fails + record.slows > 0.5 or (short(number), job_class) in found:
+            # Without a failure at any node there is nothing to judge.
+            if (
+                record.failure_run
+                or record.failures + record.slow_successes > 0.5
+                or (wire_id(number), job_class) in evidence_by_key
+            ):
                 entry = self.evidence.entry((number, job_class), now)
-                found[entry.worker, job_class].append(Evident(self.name, entry, well))
+                evidence_by_key[entry.worker, job_class].append(NodeEvidence(self.name, entry, own_credible))
         nodes = 1 + len(self.members)
-        verdicts = {key: judge(evidence, nodes, self.rules) for key, evidence in found.items()}
-        # one that is known to fail a class is condemned for another by its first failure there
-        ill = {worker for (worker, _), verdict in verdicts.items() if verdict.word is Word.BAD}
-        warned = replace(self.rules, signs=1, quorum=1)
-        for key in [k for k, v in verdicts.items() if k[0] in ill and v.word < Word.BAD]:
-            verdicts[key] = max(verdicts[key], judge(found[key], nodes, warned), key=lambda v: v.word)
-        rulings = {}
+        verdicts = {key: judge(evidence, nodes, self.rules) for key, evidence in evidence_by_key.items()}
+        # A worker that is bad for one class is excluded from another after a single failure there.
+        failing_workers = {worker for (worker, _), verdict in verdicts.items() if verdict.level is Word.BAD}
+        lowered = replace(self.rules, min_failures=1, quorum=1)
+        for key in [k for k, v in verdicts.items() if k[0] in failing_workers and v.level < Word.BAD]:
+            verdicts[key] = max(
+                verdicts[key], judge(evidence_by_key[key], nodes, lowered), key=lambda v: v.level
+            )
+        standing_verdicts = {}
         for key, verdict in verdicts.items():
-            if verdict.word is not Word.GOOD:
-                known = self.rulings.get(key)
-                since = known.since if known is not None and known.verdict.word is verdict.word else now
-                rulings[key] = Ruling(verdict, since)
-        self.rulings = rulings
-        self.out = capped(verdicts, len(self.lives), self.rules)
-        for key in [k for k in self.trying if not self.condemned(k)]:
-            self._stop_trying(key)
-
-    def _voices(self) -> list[tuple[str, Heard]]:
-        """The statements that count: guards against names that nobody in the group has."""
-        return [(name, self.heard[name]) for name in self.members if name in self.heard]
+            if verdict.level is not Word.GOOD:
+                previous = self.standing_verdicts.get(key)
+                since = (
+                    previous.since
+                    if previous is not None and previous.verdict.level is verdict.level
+                    else now
+                )
+                standing_verdicts[key] = StandingVerdict(verdict, since)
+        self.standing_verdicts = standing_verdicts
+        self.excluded = limit_exclusions(verdicts, len(self.incarnations), self.rules)
+        for key in [k for k in self.trials if not self.is_excluded(k)]:
+            self._stop_trial(key)
+
+    def _member_statements(self) -> list[tuple[str, PeerStatement]]:
+        """Return the statements of current members; names outside the group do not count."""
+        return [(name, self.peer_statements[name]) for name in self.members if name in self.peer_statements]
 
     def _health(self, now: float) -> tuple[int, int]:
-        return self.evidence.health(now, self.rules.hold_ms)
-
-    def _believed(self, seen: int, ill: int) -> bool:
-        """Whether a node's word on failures counts: one that sees most workers fail may be ill itself."""
-        return seen < 3 or ill <= self.rules.ill * seen
-
-    def condemned(self, key: Key) -> bool:
-        """Whether a worker and class are out by verdict."""
-        ruling = self.rulings.get(key)
-        return ruling is not None and ruling.verdict.word >= Word.BAD and key[0] in self.out
+        return self.evidence.health(now, self.rules.max_verdict_age_ms)
+
+    def _is_credible(self, seen: int, failing: int) -> bool:
+        """Return whether a node's failures count: one that sees most workers fail may be at fault itself."""
+        return seen < 3 or failing <= self.rules.max_failing_share * seen
+
+    def is_excluded(self, key: Key) -> bool:
+        """Return whether a verdict excludes the worker from the class."""
+        standing_verdict = self.standing_verdicts.get(key)
+        return (
+            standing_verdict is not None
+            and standing_verdict.verdict.level >= Word.BAD
+            and key[0] in self.excluded
+        )
 
-    def _disputed(self, key: Key) -> bool:
-        return key in self.rulings or any(
-            e.fail_run and (e.worker, e.job_class) == key for h in self.heard.values() for e in h.told.entries
+    def _is_contested(self, key: Key) -> bool:
+        return key in self.standing_verdicts or any(
+            entry.failure_run and (entry.worker, entry.job_class) == key
+            for peer in self.peer_statements.values()
+            for entry in peer.statement.entries
         )
 
     # -- trials
 
-    def _order(self, key: Key, now: float) -> list[str]:
-        """Who tries: whoever saw it fail longest ago or never, so that each trial is another node's word."""
-        ages = {name: math.inf for name in (self.name, *self.members)}
-        for name, heard in self.heard.items():
-            for entry in heard.told.entries if name in ages else ():
-                if (entry.worker, entry.job_class) == key and entry.fail_run and entry.fail_age < math.inf:
-                    ages[name] = round((entry.fail_age + now - heard.made) / 1000)
-        own = self.evidence.records.get((self.workers.get(key[0], -1), key[1]))
-        if own is not None and own.fail_run:
-            ages[self.name] = round((now - own.fail_at) / 1000)
-        return sorted(ages, key=lambda name: (-ages[name], _hash(name, key)))
+    def _trial_order(self, key: Key, now: float) -> list[str]:
+        """Return the members in the order in which they may run the next trial.
+
+        The node that saw the longest time ago, or never, that the worker failed is first, so that successive
+        trials give evidence from different nodes.
+        """
+        failure_ages = {name: math.inf for name in (self.name, *self.members)}
+        for name, peer in self.peer_statements.items():
+            for entry in peer.statement.entries if name in failure_ages else ():
+                if (
+                    (entry.worker, entry.job_class) == key
+                    and entry.failure_run
+                    and entry.failure_age < math.inf
+                ):
+                    failure_ages[name] = round((entry.failure_age + now - peer.made_at) / 1000)
+        own_record = self.evidence.records.get((self.workers.get(key[0], -1), key[1]))
+        if own_record is not None and own_record.failure_run:
+            failure_ages[self.name] = round((now - own_record.last_failure_at) / 1000)
+        return sorted(failure_ages, key=lambda name: (-failure_ages[name], _hash(name, key)))
 
     def _begin_trials(self, now: float) -> None:
-        if not self.may_try:
-            self._put_down()
+        if not self.trials_allowed:
+            self._stop_all_trials()
             return
-        lease = self.ways.takeover * self.ways.lift
-        condemned: dict[int, list[Key]] = defaultdict(list)
-        for key in self.rulings:
-            if self.condemned(key):
-                condemned[key[0]].append(key)
-        for worker, keys in condemned.items():
-            tried, by = self._tried(worker)
-            trying = [key for key in keys if key in self.trying]
-            if trying:
-                if now - tried < self.ways.lift and by < self.name:
-                    self._stop_trying(trying[0])  # two began before they heard of each other: one goes on
+        lease = self.gossip.takeover_factor * self.gossip.trial_ms
+        excluded_keys: dict[int, list[Key]] = defaultdict(list)
+        for key in self.standing_verdicts:
+            if self.is_excluded(key):
+                excluded_keys[key[0]].append(key)
+        for worker, keys in excluded_keys.items():
+            tried_at, tried_by = self._latest_peer_trial(worker)
+            own_trials = [key for key in keys if key in self.trials]
+            if own_trials:
+                if now - tried_at < self.gossip.trial_ms and tried_by < self.name:
+                    # Two nodes began before they learned of each other: the lower name continues.
+                    self._stop_trial(own_trials[0])
                 continue
-            verdicts = {key: self.rulings[key].verdict for key in keys}
-            # one class at a time, and what fails in it says something of the others too
-            quiet = min(v.fail_age for v in verdicts.values()) + now - self._looked
-            wait = max(try_after_ms(v, self.rules) for v in verdicts.values())
-            # whoever tries says so, and is to be left alone until its lease is over by its own clock
-            if quiet < wait or now - tried < lease:
+            verdicts = {key: self.standing_verdicts[key].verdict for key in keys}
+            # One class is tried at a time: a failure in it is also evidence on the others.
+            since_failure = min(v.failure_age for v in verdicts.values()) + now - self._evaluated_at
+            delay = max(delay_before_trial_ms(v, self.rules) for v in verdicts.values())
+            # A node announces its trial; others wait until its lease is over by its own clock.
+            if since_failure < delay or now - tried_at < lease:
                 continue
-            key = max(keys, key=lambda k: (verdicts[k].fail_age, k))
-            if quiet >= wait + self._order(key, now).index(self.name) * lease:
-                self.trying[key] = now + self.ways.lift
-                self._mark(key, now, True)
-
-    def busy(self, key: Key, now: float) -> None:
-        """An attempt of this node's trial is out: nobody else has to begin another one yet."""
-        if key in self.trying:
-            self.trying[key] = now + self.ways.lift
-
-    def _tried(self, worker: int) -> tuple[float, str]:
-        """When another node last said that it tries a worker, and which."""
-        found = (-math.inf, "")
-        for name, heard in self.heard.items():
-            for entry in heard.told.entries:
-                if entry.trying and entry.worker == worker:
-                    found = max(found, (heard.made, name))
-        return found
-
-    def _mark(self, key: Key, now: float, trying: bool) -> None:
+            key = max(keys, key=lambda k: (verdicts[k].failure_age, k))
+            if since_failure >= delay + self._trial_order(key, now).index(self.name) * lease:
+                self.trials[key] = now + self.gossip.trial_ms
+                self._set_under_trial(key, now, True)
+
+    def extend_trial(self, key: Key, now: float) -> None:
+        """Extend this node's trial while one of its requests is running, so that no other node takes over."""
+        if key in self.trials:
+            self.trials[key] = now + self.gossip.trial_ms
+
+    def _latest_peer_trial(self, worker: int) -> tuple[float, str]:
+        """Return when another node last announced a trial of the worker, and that node's name."""
+        latest = (-math.inf, "")
+        for name, peer in self.peer_statements.items():
+            for entry in peer.statement.entries:
+                if entry.under_trial and entry.worker == worker:
+                    latest = max(latest, (peer.made_at, name))
+        return latest
+
+    def _set_under_trial(self, key: Key, now: float, under_trial: bool) -> None:
         worker = self.workers.get(key[0])
         if worker is None:
             return
         record = self.evidence.records.get((worker, key[1]))
-        if record is None and trying:
-            record = self.evidence.records[worker, key[1]] = Record(self.lives[key[0]], now)
+        if record is None and under_trial:
+            record = self.evidence.records[worker, key[1]] = Record(self.incarnations[key[0]], now)
         if record is not None:
-            record.trying = trying
-            self._due = min(self._due, now)
-
-    def _stop_trying(self, key: Key) -> None:
-        if self.trying.pop(key, None) is not None:
-            self._mark(key, self._looked, False)
-
-    def _put_down(self) -> None:
-        for key in list(self.trying):
-            self._stop_trying(key)
-
-    def tries(self, key: Key, now: float) -> bool:
-        """Whether this node may send to a condemned worker now. Over by its own clock, whatever it missed."""
-        return now < self.trying.get(key, -math.inf)
-
-    # -- what is told
-
-    def _subjects(self, now: float) -> list[Key]:
-        """The records worth telling, the weightiest first: rows of failures, and what speaks against them."""
-        told = [e for heard in self.heard.values() for e in heard.told.entries]
-        contested = {(e.worker, e.job_class) for e in told if e.fail_run or e.trying}
-        found = []
-        for (worker, job_class), r in self.evidence.records.items():
-            key = short(worker), job_class
-            row = r.fail_run > 0 and now - r.fail_at <= self.rules.row_ms
-            of_late = r.fails + r.slows >= 0.5 and now - r.at <= self.rules.half_ms
-            if r.trying or row or of_late or key in contested or key in self.rulings:
-                found.append((r.trying, row, key in contested, r.at, (worker, job_class)))
-        return [key for *_, key in sorted(found, reverse=True)]
+            record.under_trial = under_trial
+            self._next_statement_at = min(self._next_statement_at, now)
+
+    def _stop_trial(self, key: Key) -> None:
+        if self.trials.pop(key, None) is not None:
+            self._set_under_trial(key, self._evaluated_at, False)
+
+    def _stop_all_trials(self) -> None:
+        for key in list(self.trials):
+            self._stop_trial(key)
+
+    def is_trying(self, key: Key, now: float) -> bool:
+        """Return whether this node may send trial requests now. A trial ends by the local clock alone."""
+        return now < self.trials.get(key, -math.inf)
+
+    # -- gossip
+
+    def _reported_keys(self, now: float) -> list[Key]:
+        """Return the keys of the records to report, most important first.
+
+        These are trials, runs of failures, and evidence on workers that other nodes report as failing.
+        """
+        entries = [entry for peer in self.peer_statements.values() for entry in peer.statement.entries]
+        contested = {
+            (entry.worker, entry.job_class) for entry in entries if entry.failure_run or entry.under_trial
+        }
+        candidates = []
+        for (worker, job_class), record in self.evidence.records.items():
+            key = wire_id(worker), job_class
+            failing = record.failure_run > 0 and now - record.last_failure_at <= self.rules.max_run_age_ms
+            recent = (
+                record.failures + record.slow_successes >= 0.5
+                and now - record.updated_at <= self.rules.half_life_ms
+            )
+            if record.under_trial or failing or recent or key in contested or key in self.standing_verdicts:
+                candidates.append(
+                    (record.under_trial, failing, key in contested, record.updated_at, (worker, job_class))
+                )
+        return [key for *_, key in sorted(candidates, reverse=True)]
 
     def statement(self, now: float) -> Statement:
-        """All that this node has to say now."""
-        ways = self.ways
-        room = ways.entries - min(len(self.cold), ways.newborn)
-        entries = self.evidence.entries(self._subjects(now)[:room], now)
-        newborn = sorted(self.cold.items(), key=lambda item: item[1], reverse=True)[: ways.newborn]
-        blank = Entry(0, NEWBORN, 0, 0.0, 0.0, 0.0, 0, 0, math.inf, math.inf, math.inf)
-        born = tuple(replace(blank, worker=worker, life=life) for worker, life in newborn)
+        """Make the next statement of this node."""
+        gossip = self.gossip
+        entry_limit = gossip.max_entries - min(len(self.cold), gossip.max_start_entries)
+        entries = self.evidence.entries(self._reported_keys(now)[:entry_limit], now)
+        latest_starts = sorted(self.cold.items(), key=lambda item: item[1], reverse=True)[
+            : gossip.max_start_entries
+        ]
+        blank = Entry(0, START_ENTRY, 0, 0.0, 0.0, 0.0, 0, 0, math.inf, math.inf, math.inf)
+        start_entries = tuple(
+            replace(blank, worker=worker, incarnation=incarnation) for worker, incarnation in latest_starts
+        )
         self._number = (self._number + 1) & 0xFFFFFFFF
-        return Statement(self.name, self.life, self._number, 0.0, *self._health(now), entries + born)
-
-    def _tell(self, now: float) -> Sends:
-        ways, sends = self.ways, Sends()
-        if self._again and now >= self._again[0] and self._last is not None:
-            del self._again[0]
-            sends += self._spread(replace(self._last, age_ms=now - self._made))
-        every = ways.trying if self.trying else ways.refresh
-        if now - self._made >= every and (self.cold or (self._last is not None and self._last.entries)):
-            self._due = min(self._due, now)
-        if now < self._due or not self.members:
+        return Statement(
+            self.name, self.incarnation, self._number, 0.0, *self._health(now), entries + start_entries
+        )
+
+    def _own_sends(self, now: float) -> Sends:
+        """Return this node's statement if a repetition, a renewal or a new one is due."""
+        gossip, sends = self.gossip, Sends()
+        if self._resend_times and now >= self._resend_times[0] and self._last_statement is not None:
+            del self._resend_times[0]
+            sends += self._disseminate(replace(self._last_statement, age_ms=now - self._last_statement_at))
+        refresh_ms = gossip.trial_refresh_ms if self.trials else gossip.refresh_ms
+        if now - self._last_statement_at >= refresh_ms and (
+            self.cold or (self._last_statement is not None and self._last_statement.entries)
+        ):
+            self._next_statement_at = min(self._next_statement_at, now)
+        if now < self._next_statement_at or not self.members:
             return sends
-        self._due = math.inf
-        told = self.statement(now)
-        if not told.entries and (self._last is None or not self._last.entries):
+        self._next_statement_at = math.inf
+        statement = self.statement(now)
+        if not statement.entries and (self._last_statement is None or not self._last_statement.entries):
             return sends
-        self._last, self._made, self._again = told, now, [now + after for after in ways.again]
-        self.told += 1
-        return sends + self._spread(told)
+        self._last_statement, self._last_statement_at, self._resend_times = (
+            statement,
+            now,
+            [now + after for after in gossip.resend_after_ms],
+        )
+        self.statements_made += 1
+        return sends + self._disseminate(statement)
 
-    def _spread(self, told: Statement) -> Sends:
+    def _disseminate(self, statement: Statement) -> Sends:
         names = self.members
-        if len(names) > self.ways.direct:
-            names = tuple(self.random.sample(names, min(len(names), self.ways.fan)))
-        return [(names, pack(told, self.most))]
+        if len(names) > self.gossip.max_direct_members:
+            names = tuple(self.random.sample(names, min(len(names), self.gossip.fanout)))
+        return [(names, pack(statement, self.max_statement_bytes))]
+
+    def _relay_sends(self, now: float) -> Sends:
+        """Return others' statements to relay.
 
-    def _pass_on(self, now: float) -> Sends:
-        """Others' statements: in a large group each once, as it comes; else one at random now and then."""
+        In a large group each one is forwarded once on arrival. In any group random ones are also relayed
+        periodically.
+        """
         sends = Sends()
-        if len(self.members) > self.ways.direct:
-            for heard in self.heard.values():
-                if heard.passed == 0:
-                    heard.passed = 1
-                    sends += self._spread(replace(heard.told, age_ms=now - heard.made))
-        ways = self.ways
-        fresh = any(now - r.since < ways.relay_news * ways.news for r in self.rulings.values())
-        if self.heard and self.members and now - self._relayed >= (ways.relay_news if fresh else ways.relay):
-            self._relayed = now
-            for heard in self.random.sample(list(self.heard.values()), min(3, len(self.heard))):
-                to = (self.random.choice(self.members),)
-                sends.append((to, pack(replace(heard.told, age_ms=now - heard.made), self.most)))
+        if len(self.members) > self.gossip.max_direct_members:
+            for peer in self.peer_statements.values():
+                if peer.forwarded == 0:
+                    peer.forwarded = 1
+                    sends += self._disseminate(replace(peer.statement, age_ms=now - peer.made_at))
+        gossip = self.gossip
+        fresh = any(
+            now - s.since < gossip.relay_fresh_ms * gossip.fresh_factor
+            for s in self.standing_verdicts.values()
+        )
+        if (
+            self.peer_statements
+            and self.members
+            and now - self._last_relay_at >= (gossip.relay_fresh_ms if fresh else gossip.relay_ms)
+        ):
+            self._last_relay_at = now
+            for peer in self.random.sample(
+                list(self.peer_statements.values()), min(3, len(self.peer_statements))
+            ):
+                recipients = (self.random.choice(self.members),)
+                sends.append(
+                    (
+                        recipients,
+                        pack(replace(peer.statement, age_ms=now - peer.made_at), self.max_statement_bytes),
+                    )
+                )
         return sends
 
-    # -- what others know of starts
-
-    def started(self, now: float) -> dict[int, float]:
-        """By worker: when it started, where enough others know of a later start than the list here does."""
-        named: dict[int, list[int]] = defaultdict(list)
-        for _, heard in self._voices():
-            lives: dict[int, int] = {}
-            for e in heard.told.entries:
-                lives[e.worker] = max(lives.get(e.worker, 0), e.life)
-            for worker, life in lives.items():
-                if worker in self.workers and life > self.lives[worker]:
-                    named[worker].append(life)
+    # -- worker starts known to others
+
+    def later_starts(self, now: float) -> dict[int, float]:
+        """Return the start times, by worker, that are later than in the local list and known to a quorum."""
+        later_incarnations: dict[int, list[int]] = defaultdict(list)
+        for _, peer in self._member_statements():
+            incarnations: dict[int, int] = {}
+            for entry in peer.statement.entries:
+                incarnations[entry.worker] = max(incarnations.get(entry.worker, 0), entry.incarnation)
+            for worker, incarnation in incarnations.items():
+                if worker in self.workers and incarnation > self.incarnations[worker]:
+                    later_incarnations[worker].append(incarnation)
         quorum = min(self.rules.quorum, max(1, len(self.members)))
         return {
-            self.workers[worker]: sorted(lives, reverse=True)[quorum - 1] * 10.0
-            for worker, lives in named.items()
-            if len(lives) >= quorum
+            self.workers[worker]: sorted(incarnations, reverse=True)[quorum - 1] * 10.0
+            for worker, incarnations in later_incarnations.items()
+            if len(incarnations) >= quorum
         }
 
 
-def _older(entry: Entry, by_ms: float) -> Entry:
+def _aged(entry: Entry, by_ms: float) -> Entry:
+    """Return the entry with all its ages increased by `by_ms`."""
     return replace(
         entry,
-        good_age=entry.good_age + by_ms,
-        fail_age=entry.fail_age + by_ms,
-        onset_age=entry.onset_age + by_ms,
+        success_age=entry.success_age + by_ms,
+        failure_age=entry.failure_age + by_ms,
+        run_age=entry.run_age + by_ms,
     )
 
 
--- a/pebbledrift/verdicts/verdict.py
+++ b/pebbledrift/verdicts/verdict.py
@@ -1,8 +1,9 @@
 """The verdict on a worker: a pure function of the evidence of several nodes. No I/O, no state, no leader.
 
-Nodes that hold the same evidence come to the same verdicts. Nobody condemns alone: it takes rows of
-failures at as many nodes as the quorum asks for, each with bounded weight, and whoever sees most workers fail
-has none. Failures on the way count only where most of those that had to do with the worker saw them.
+Nodes that hold the same evidence reach the same verdicts. No node excludes a worker alone: a quorum of nodes
+must each have seen a run of failures. The weight of each run is bounded, and a node at which most workers
+fail is not counted at all. Path failures count only if most of the nodes that recently used the worker saw
+them.
 """
 
 from __future__ import annotations
@@ -16,118 +17,136 @@
 
 
 class Word(IntEnum):
-    """A verdict; the greater is the worse."""
+    """The level of a verdict; a greater value is worse."""
 
     GOOD = 0
-    DOUBTFUL = 1  # now and then it fails, or it is slow: others first
-    BAD = 2  # it fails what it is sent
-    DOWN = 3  # most nodes cannot get through to it
+    DOUBTFUL = 1  # fails some of its jobs or is slow: other workers are preferred
+    BAD = 2  # fails the jobs that it is sent
+    DOWN = 3  # unreachable from most nodes
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The settings of verdicts, with their reasons in docs/verdicts.md."""
-
-    half_ms: float = 8000.0  # in which a count of evidence fades by half
-    signs: int = 3  # failures in rows, over all nodes, that condemn
-    quorum: int = 2  # nodes that must have seen them, as far as there are so many
-    out_most: float = 0.3  # share of the fleet that may be out by verdict
-    hold_ms: float = 12_000.0  # without a fresh sign a verdict is over after this
-    row_ms: float = 60_000.0  # a node's own row of failures is over after this
-    weight: int = 4  # the most that one node's row counts
-    back: int = 2  # successes after the last failure that bring a worker back
-    ill: float = 0.5  # whoever sees more than this share of its workers fail is not believed
-    doubt: float = 0.12  # share of failures that makes a worker doubtful
-    slow: float = 0.5  # and of answers that were slow
-    try_ms: float = 1000.0  # after a failure until the worker is tried, longer by what failed in a row
-    try_most_ms: float = 8000.0
+    """The settings of verdicts; docs/verdicts.md gives the reasons."""
+
+    half_life_ms: float = 8000.0  # time in which a count of evidence decays by half
+    min_failures: int = 3  # consecutive failures, summed over all nodes, for an exclusion
+    quorum: int = 2  # nodes that must have seen them; all nodes if the group is smaller
+    max_excluded_share: float = 0.3  # share of the workers that verdicts may exclude
+    max_verdict_age_ms: float = 12_000.0  # a verdict ends if no new failure is seen for this long
+    max_run_age_ms: float = 60_000.0  # a run of failures is ignored after this
+    max_node_weight: int = 4  # bound on the weight of one node's run
+    recovery_successes: int = 2  # successes after the last failure that readmit a worker
+    max_failing_share: float = 0.5  # a node that sees a greater share of its workers fail is not credible
+    doubtful_failure_share: float = 0.12  # share of failures from which a worker is doubtful
+    doubtful_slow_share: float = 0.5  # share of slow answers from which a worker is doubtful
+    trial_delay_ms: float = 1000.0  # from the last failure to a trial; grows with further failures
+    max_trial_delay_ms: float = 8000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Evident:
-    """One node's evidence of one worker and class, and whether its word on failures counts."""
+class NodeEvidence:
+    """One node's evidence on one worker and class, and whether its failures count."""
 
     name: str
     entry: Entry
-    believed: bool
+    credible: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What is held of one worker and class."""
+    """The verdict on one worker and class."""
 
-    word: Word
-    weight: float = 0.0  # how much speaks for it: the cap lets the least of them back
-    fail_age: float = math.inf  # since the last failure that anybody saw
-    by: tuple[str, ...] = ()  # whose evidence it rests on
+    level: Word
+    weight: float = 0.0  # strength of the evidence; the limit on exclusions readmits the lightest first
+    failure_age: float = math.inf  # ms since the last failure at any node that counts
+    observers: tuple[str, ...] = ()  # nodes whose evidence it is based on
 
 
 GOOD = Verdict(Word.GOOD)
 
 
-def judge(evidence: Iterable[Evident], members: int, rules: Rules) -> Verdict:
-    """The verdict on one worker and class. `members`: how many nodes there are that could have seen it."""
-    found = list(evidence)
+def judge(evidence: Iterable[NodeEvidence], members: int, rules: Rules) -> Verdict:
+    """Return the verdict on one worker and class. `members` is the number of nodes that can observe it."""
+    reports = list(evidence)
     quorum = max(1, min(rules.quorum, members))
-    rows = [e for e in found if e.believed and e.entry.fail_run and e.entry.fail_age <= rules.row_ms]
-    by_word = [e for e in rows if e.entry.by_word]
-    # a failure on the way is its node's own matter, unless most that had to do with the worker say the same
-    recent = [e for e in found if min(e.entry.good_age, e.entry.fail_age) <= rules.row_ms]
-    on_the_way = len(by_word) < len(rows) and 2 * len(rows) > len(recent)
-    counted = rows if on_the_way else by_word
-    if len(counted) >= quorum and _row(counted, rules) >= rules.signs:
-        newest = min(e.entry.fail_age for e in counted)
-        onset = max(e.entry.onset_age for e in counted)
-        since = sum(min(rules.back, e.entry.good_run) for e in found if e.entry.good_age < newest)
-        against = sum(e.entry.good_run > 0 and e.entry.good_age < onset for e in found)
-        if newest <= rules.hold_ms and since < rules.back and len(counted) > against:
-            word = Word.BAD if by_word else Word.DOWN
-            names = tuple(sorted(e.name for e in counted))
-            return Verdict(word, _row(counted, rules), newest, names)
-    return _doubt(found, quorum, rules)
-
-
-def _row(counted: list[Evident], rules: Rules) -> float:
-    return float(sum(min(rules.weight, e.entry.fail_run) for e in counted))
-
-
-def _doubt(found: list[Evident], quorum: int, rules: Rules) -> Verdict:
-    """One that fails one job in five, or is slow: by counts of late, each node's bounded in its weight."""
-    told = [e for e in found if e.believed]
-    failing = [e for e in told if e.entry.fails >= 0.5]
-    slow = [e for e in told if e.entry.slows >= 0.5]
-    total = sum(_scaled(e.entry, e.entry.goods + e.entry.fails, rules) for e in told)
-    failed = sum(_scaled(e.entry, e.entry.fails, rules) for e in failing)
-    slowed = sum(_scaled(e.entry, e.entry.slows, rules) for e in slow)
-    for names, share, least in ((failing, failed, rules.doubt), (slow, slowed, rules.slow)):
-        if len(names) >= quorum and share >= rules.signs and share >= least * total:
-            age = min(e.entry.fail_age for e in names)
-            return Verdict(Word.DOUBTFUL, share, age, tuple(sorted(e.name for e in names)))
+    failing = [
+        e
+        for e in reports
+        if e.credible and e.entry.failure_run and e.entry.failure_age <= rules.max_run_age_ms
+    ]
+    reported = [e for e in failing if e.entry.reported]
+    # Path failures may be local to a node, so they count only if most recent observers saw them.
+    recent = [e for e in reports if min(e.entry.success_age, e.entry.failure_age) <= rules.max_run_age_ms]
+    use_path_failures = len(reported) < len(failing) and 2 * len(failing) > len(recent)
+    counted = failing if use_path_failures else reported
+    if len(counted) >= quorum and _run_weight(counted, rules) >= rules.min_failures:
+        newest_failure_age = min(e.entry.failure_age for e in counted)
+        longest_run_age = max(e.entry.run_age for e in counted)
+        recovered = sum(
+            min(rules.recovery_successes, e.entry.success_run)
+            for e in reports
+            if e.entry.success_age < newest_failure_age
+        )
+        contradicting = sum(
+            e.entry.success_run > 0 and e.entry.success_age < longest_run_age for e in reports
+        )
+        if (
+            newest_failure_age <= rules.max_verdict_age_ms
+            and recovered < rules.recovery_successes
+            and len(counted) > contradicting
+        ):
+            level = Word.BAD if reported else Word.DOWN
+            observers = tuple(sorted(e.name for e in counted))
+            return Verdict(level, _run_weight(counted, rules), newest_failure_age, observers)
+    return _judge_doubtful(reports, quorum, rules)
+
+
+def _run_weight(counted: list[NodeEvidence], rules: Rules) -> float:
+    return float(sum(min(rules.max_node_weight, e.entry.failure_run) for e in counted))
+
+
+def _judge_doubtful(reports: list[NodeEvidence], quorum: int, rules: Rules) -> Verdict:
+    """Return DOUBTFUL for a worker that fails some of its jobs or is slow, by decayed and bounded counts."""
+    credible = [e for e in reports if e.credible]
+    failing = [e for e in credible if e.entry.failures >= 0.5]
+    slow = [e for e in credible if e.entry.slow_successes >= 0.5]
+    total = sum(_bounded_count(e.entry, e.entry.successes + e.entry.failures, rules) for e in credible)
+    failed = sum(_bounded_count(e.entry, e.entry.failures, rules) for e in failing)
+    slowed = sum(_bounded_count(e.entry, e.entry.slow_successes, rules) for e in slow)
+    for nodes, weight, min_share in (
+        (failing, failed, rules.doubtful_failure_share),
+        (slow, slowed, rules.doubtful_slow_share),
+    ):
+        if len(nodes) >= quorum and weight >= rules.min_failures and weight >= min_share * total:
+            newest_failure_age = min(e.entry.failure_age for e in nodes)
+            return Verdict(Word.DOUBTFUL, weight, newest_failure_age, tuple(sorted(e.name for e in nodes)))
     return GOOD
 
 
-def _scaled(entry: Entry, count: float, rules: Rules) -> float:
-    """A count, with all of its node's together held to a weight: a million failures say no more than some."""
-    most = 4.0 * rules.weight
-    return count * min(1.0, most / max(1e-9, entry.goods + entry.fails))
+def _bounded_count(entry: Entry, count: float, rules: Rules) -> float:
+    """Scale a count so that the total of its node stays bounded, however many jobs the node sent."""
+    max_count = 4.0 * rules.max_node_weight
+    return count * min(1.0, max_count / max(1e-9, entry.successes + entry.failures))
 
 
-def capped(verdicts: Mapping[tuple[int, int], Verdict], workers: int, rules: Rules) -> set[int]:
-    """The workers that stay out: of those condemned the worst, no more than the cap allows.
+def limit_exclusions(verdicts: Mapping[tuple[int, int], Verdict], workers: int, rules: Rules) -> set[int]:
+    """Return the workers to exclude: the worst ones, up to the allowed share of all `workers`.
 
-    Ties by number, so that all nodes let the same ones back.
+    Ties are broken by the worker's number, so that all nodes readmit the same workers.
     """
     worst: dict[int, tuple[int, float]] = {}
     for (worker, _), v in verdicts.items():
-        if v.word >= Word.BAD:
-            worst[worker] = max(worst.get(worker, (0, 0.0)), (int(v.word), v.weight))
-    most = int(rules.out_most * workers)
-    return set(sorted(worst, key=lambda w: (worst[w], w), reverse=True)[:most])
+        if v.level >= Word.BAD:
+            worst[worker] = max(worst.get(worker, (0, 0.0)), (int(v.level), v.weight))
+    max_excluded = int(rules.max_excluded_share * workers)
+    return set(sorted(worst, key=lambda w: (worst[w], w), reverse=True)[:max_excluded])
 
 
-def try_after_ms(verdict: Verdict, rules: Rules) -> float:
-    """How long after its last failure a worker is tried again: doubled with each two further failures in the
-    rows that count, a failed trial among them.
+def delay_before_trial_ms(verdict: Verdict, rules: Rules) -> float:
+    """Return the delay between the last failure of a worker and its next trial, in ms.
+
+    The delay doubles with every two further failures in the runs that count, failed trials included.
     """
-    further = max(0.0, verdict.weight - rules.signs)
-    return min(rules.try_most_ms, rules.try_ms * math.pow(2.0, further / 2))
+    extra_weight = max(0.0, verdict.weight - rules.min_failures)
+    return min(rules.max_trial_delay_ms, rules.trial_delay_ms * math.pow(2.0, extra_weight / 2))
--- a/pebbledrift/verdicts/words.py
+++ b/pebbledrift/verdicts/words.py
@@ -1,13 +1,13 @@
-"""Operators' words that hold for all nodes: bans on workers and a pause of the fleet. No I/O.
+"""Operators' commands that hold for all nodes: bans of workers and a pause of the fleet. No I/O.
 
-Taking away is accepted at any node at once, and giving back takes away only the bans that the node knows of:
-each ban has an id of its own (a set in which an element that is added anew outlives an earlier removal;
-Shapiro, Preguiça, Baquero and Zawirski, "Conflict-free Replicated Data Types", 2011). So a RESTORE on one
-side of a cut leaves a SUSPEND on the other one in force, whatever is heard first. Words are merged, never
-counted: lost, doubled and overtaken ones change nothing.
+Any node accepts a ban at once. Lifting removes only the bans that the node knows of, since each ban has a
+unique id (an observed-remove set: an element that is added again survives an earlier removal; Shapiro,
+Preguiça, Baquero and Zawirski, "Conflict-free Replicated Data Types", 2011). A RESTORE on one side of a
+network partition therefore leaves a SUSPEND on the other side in force, in whatever order they arrive. States
+are merged, never counted: lost, duplicated and reordered commands do no harm.
 
-Bounds: what is kept for one subject fits one datagram. An id of a ban that was lifted may be forgotten after
-many others; a member that was away so long would then bring that ban back, which is the safe side.
+Bounds: the state of one subject fits in one datagram. The id of a lifted ban may be forgotten after many
+others. A member that was absent for that long would bring the ban back, which is the safe direction.
 """
 
 from __future__ import annotations
@@ -16,147 +16,150 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-ALL = ""  # the subject that stands for the nodes themselves: a pause
-BANS_MOST, LIFTED_MOST = 8, 24
-SUBJECTS_MOST = 2000
-UID_MOST = 64  # bytes
-ID = 4  # bytes
-DIGEST = 8
+ALL = ""  # the subject of a pause of all nodes
+MAX_BANS, MAX_LIFTED = 8, 24  # ids kept for one subject
+MAX_SUBJECTS = 2000
+MAX_UID_BYTES = 64
+ID_BYTES = 4
+DIGEST_BYTES = 8
 
 
-class BadWord(ValueError):
-    """Bytes that are no word, or a subject that cannot be told of."""
+class InvalidCommand(ValueError):
+    """Malformed bytes, or a subject that exceeds the bounds."""
 
 
 @dataclass(slots=True)
 class Subject:
-    """The ids of the bans that stand on one worker, and of those that were lifted, the oldest first."""
+    """The ids of the bans in force on one worker, and of the lifted bans, oldest first."""
 
     bans: dict[int, None] = field(default_factory=dict)
     lifted: dict[int, None] = field(default_factory=dict)
 
 
-class Words:
-    """All words that one node knows. `draw` gives an unpredictable number of 32 bits."""
+class OperatorCommands:
+    """All commands that one node knows. `draw_id` returns an unpredictable 32-bit number."""
 
-    def __init__(self, draw: Callable[[], int]) -> None:
-        self.draw = draw
+    def __init__(self, draw_id: Callable[[], int]) -> None:
+        self.draw_id = draw_id
         self.subjects: dict[str, Subject] = {}
 
     def banned(self, uid: str) -> bool:
-        """Whether a worker is out, or for ALL, whether the fleet is paused."""
+        """Return whether a worker is banned or, for ALL, whether the fleet is paused."""
         subject = self.subjects.get(uid)
         return subject is not None and bool(subject.bans)
 
     def ban(self, uid: str) -> None:
-        """Take a worker out. Each call is a ban of its own, up to a bound."""
+        """Ban a worker. Each call adds a ban with a new id, up to MAX_BANS. Raises InvalidCommand."""
         subject = self._subject(uid)
-        if len(subject.bans) < BANS_MOST:
-            subject.bans[self.draw() & 0xFFFFFFFF] = None
+        if len(subject.bans) < MAX_BANS:
+            subject.bans[self.draw_id() & 0xFFFFFFFF] = None
 
     def lift(self, uid: str) -> None:
-        """Give back: what is known to stand is over."""
+        """Lift all bans of a worker that this node knows."""
         subject = self.subjects.get(uid)
         if subject is not None:
             subject.lifted.update(subject.bans)
             subject.bans.clear()
             _trim(subject)
 
-    def lift_these(self, uid: str, ids: list[int]) -> bool:
-        """These bans are over, and no others; whether that has changed anything here."""
+    def lift_ids(self, uid: str, ids: list[int]) -> bool:
+        """Lift exactly these bans. Returns whether the state changed. Raises InvalidCommand."""
         return self.merge(uid, Subject({}, dict.fromkeys(ids)))
 
-    def merge(self, uid: str, told: Subject) -> bool:
-        """Another node's word; whether it has changed anything here."""
+    def merge(self, uid: str, received: Subject) -> bool:
+        """Merge a state of a subject. Returns whether this changed anything. Raises InvalidCommand."""
         subject = self._subject(uid)
         before = set(subject.bans), set(subject.lifted)
-        subject.lifted.update(told.lifted)
-        subject.bans.update(told.bans)
+        subject.lifted.update(received.lifted)
+        subject.bans.update(received.bans)
         for number in [n for n in subject.bans if n in subject.lifted]:
             del subject.bans[number]
-        # guards the size of a datagram: one ban stands as well as nine, and all nodes keep the same ones
-        for number in sorted(subject.bans)[BANS_MOST:]:
+        # Bounds the datagram: one ban has the same effect as nine, and all nodes keep the same ones.
+        for number in sorted(subject.bans)[MAX_BANS:]:
             del subject.bans[number]
         _trim(subject)
         return before != (set(subject.bans), set(subject.lifted))
 
     def state(self) -> dict[str, list[list[int]]]:
-        """All that is known, as plain data."""
-        known = ((uid, s) for uid, s in self.subjects.items() if s.bans or s.lifted)
-        return {uid: [sorted(s.bans), list(s.lifted)] for uid, s in known}
+        """Return the whole state as plain data for storage."""
+        subjects = ((uid, s) for uid, s in self.subjects.items() if s.bans or s.lifted)
+        return {uid: [sorted(s.bans), list(s.lifted)] for uid, s in subjects}
 
     def restore(self, state: object) -> list[str]:
-        """Take in what `state` gave in an earlier life, but for what cannot be read; returns the subjects."""
-        found = []
-        for uid, told in state.items() if isinstance(state, dict) else ():
+        """Merge a state stored by a previous process and return its subjects. Invalid parts are skipped."""
+        restored = []
+        for uid, stored in state.items() if isinstance(state, dict) else ():
             try:
-                bans, lifted = ([int(number) & 0xFFFFFFFF for number in numbers] for numbers in told)
+                bans, lifted = ([int(number) & 0xFFFFFFFF for number in numbers] for numbers in stored)
                 self.merge(str(uid), Subject(dict.fromkeys(bans), dict.fromkeys(lifted)))
             except (TypeError, ValueError):
                 continue
-            found.append(str(uid))
-        return found
+            restored.append(str(uid))
+        return restored
 
     def pack(self, uid: str) -> bytes:
-        """All that is known of one subject."""
+        """Encode the state of one subject."""
         subject, name = self.subjects.get(uid, Subject()), uid.encode()
         head = bytes((len(name), len(subject.bans), len(subject.lifted))) + name
-        return head + b"".join(n.to_bytes(ID, "big") for n in (*subject.bans, *subject.lifted))
+        return head + b"".join(n.to_bytes(ID_BYTES, "big") for n in (*subject.bans, *subject.lifted))
 
     def digest(self) -> bytes:
-        """The same at two nodes that know the same."""
-        known = [(uid, s) for uid, s in sorted(self.subjects.items()) if s.bans or s.lifted]
-        state = [(uid, sorted(s.bans), sorted(s.lifted)) for uid, s in known]
-        return hashlib.blake2b(repr(state).encode(), digest_size=DIGEST).digest()
+        """Return a hash of the state; two nodes with the same state have the same digest."""
+        subjects = [(uid, s) for uid, s in sorted(self.subjects.items()) if s.bans or s.lifted]
+        state = [(uid, sorted(s.bans), sorted(s.lifted)) for uid, s in subjects]
+        return hashlib.blake2b(repr(state).encode(), digest_size=DIGEST_BYTES).digest()
 
     def _subject(self, uid: str) -> Subject:
-        if len(uid.encode()) > UID_MOST:
-            raise BadWord(f"a name of more than {UID_MOST} bytes")
-        found = self.subjects.get(uid)
-        if found is None:
-            if len(self.subjects) >= SUBJECTS_MOST:
-                raise BadWord(f"more than {SUBJECTS_MOST} workers that staff have spoken of")
-            found = self.subjects[uid] = Subject()
-        return found
+        if len(uid.encode()) > MAX_UID_BYTES:
+            raise InvalidCommand(f"a name of more than {MAX_UID_BYTES} bytes")
+        subject = self.subjects.get(uid)
+        if subject is None:
+            if len(self.subjects) >= MAX_SUBJECTS:
+                raise InvalidCommand(f"more than {MAX_SUBJECTS} workers that staff have spoken of")
+            subject = self.subjects[uid] = Subject()
+        return subject
 
 
 def _trim(subject: Subject) -> None:
-    for number in list(subject.lifted)[: max(0, len(subject.lifted) - LIFTED_MOST)]:
+    for number in list(subject.lifted)[: max(0, len(subject.lifted) - MAX_LIFTED)]:
         del subject.lifted[number]
 
 
 def unpack(body: bytes) -> tuple[str, Subject]:
-    """A subject's name and what was told of it; BadWord where there is none."""
-    if len(body) < 3 or len(body) != 3 + body[0] + ID * (body[1] + body[2]) or body[0] > UID_MOST:
-        raise BadWord("not of this form")
-    if body[1] > BANS_MOST or body[2] > LIFTED_MOST:
-        raise BadWord("more than a node keeps")
+    """Decode the uid and the state of a subject. Raises InvalidCommand if the bytes are malformed."""
+    if len(body) < 3 or len(body) != 3 + body[0] + ID_BYTES * (body[1] + body[2]) or body[0] > MAX_UID_BYTES:
+        raise InvalidCommand("malformed command: wrong length or uid too long")
+    if body[1] > MAX_BANS or body[2] > MAX_LIFTED:
+        raise InvalidCommand("malformed command: too many bans or lifted bans")
     try:
         uid = body[3 : 3 + body[0]].decode()
     except UnicodeDecodeError as error:
-        raise BadWord("not a name") from error
+        raise InvalidCommand("malformed command: uid is not UTF-8") from error
     start = 3 + body[0]
-    ids = [int.from_bytes(body[at : at + ID], "big") for at in range(start, len(body), ID)]
+    ids = [int.from_bytes(body[at : at + ID_BYTES], "big") for at in range(start, len(body), ID_BYTES)]
     return uid, Subject(dict.fromkeys(ids[: body[1]]), dict.fromkeys(ids[body[1] :]))
 
 
 @dataclass(slots=True)
-class Errand:
-    """A word on its way to all members: sent again until each has said that it obeys, or the time is up."""
+class CommandDelivery:
+    """Delivery of a command to all members, repeated until all have acknowledged it or time runs out."""
 
     number: int
-    waiting: set[str]  # those that have not answered
-    total: int  # members that should, this one included
+    waiting: set[str]  # members that have not acknowledged the command
+    total: int  # members that must apply the command, including this one
 
     @property
-    def over(self) -> bool:
-        """Whether all have answered."""
+    def complete(self) -> bool:
+        """Whether all members have acknowledged the command."""
         return not self.waiting
 
-    def result(self, unheard: int) -> str:
-        """`done`, or who is not known to have obeyed; `unheard`: configured nodes that never spoke here."""
-        if self.over and not unheard:
+    def result(self, unseen: int) -> str:
+        """Return `done`, or which members have not acknowledged the command.
+
+        `unseen` is the number of configured nodes that never contacted this node.
+        """
+        if self.complete and not unseen:
             return "done"
-        missing = [*sorted(self.waiting)[:20], *([f"{unheard} never heard of"] if unheard else [])]
-        done = f"done at {self.total - len(self.waiting)} of {self.total + unheard}"
-        return f"{done}, not heard: {', '.join(missing)}"
+        missing = [*sorted(self.waiting)[:20], *([f"{unseen} never heard of"] if unseen else [])]
+        summary = f"done at {self.total - len(self.waiting)} of {self.total + unseen}"
+        return f"{summary}, not heard: {', '.join(missing)}"
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts without I/O: evidence, the judgement of it, trials and operators' words, in virtual time."""
+"""Tests of outlier detection without I/O: evidence, verdicts, trials and operators' commands."""
 
 from __future__ import annotations
 
@@ -19,402 +19,430 @@
 from pebbledrift.core.clock import Clock
 from pebbledrift.core.engine import Engine
 from pebbledrift.verdicts.evidence import (
-    REACH,
-    RUN_MOST,
+    MAX_RUN,
+    REACHABILITY,
     BadStatement,
     Entry,
     Evidence,
-    Sign,
+    Observation,
     Statement,
-    life_of,
+    incarnation_of,
     pack,
-    short,
     unpack,
+    wire_id,
 )
-from pebbledrift.verdicts.panel import Panel, Ways
-from pebbledrift.verdicts.verdict import Evident, Rules, Verdict, Word, capped, judge
-from pebbledrift.verdicts.words import BadWord, Subject, Words
-from pebbledrift.verdicts.words import unpack as unpack_word
+from pebbledrift.verdicts.panel import GossipSettings, Panel
+from pebbledrift.verdicts.verdict import NodeEvidence, Rules, Verdict, Word, judge, limit_exclusions
+from pebbledrift.verdicts.words import InvalidCommand, OperatorCommands, Subject
+from pebbledrift.verdicts.words import unpack as unpack_command
 from spoolpier import Dispatcher
 from spoolpier import interface as api
-from tests.panels import BODY, World
+from tests.panels import STATEMENT_BYTES, World
 
-W = 0x1234567890ABCDEF
+WORKER = 0x1234567890ABCDEF
 RULES = Rules()
-FAILS, GOOD = Sign.WORD, Sign.GOOD
+FAILURE, SUCCESS = Observation.REPORTED_FAILURE, Observation.SUCCESS
 
 ages = st.one_of(st.just(math.inf), st.floats(0, 35_000))
 entries = st.builds(
     Entry,
     worker=st.integers(0, 2**32 - 1),
     job_class=st.integers(0, 255),
-    life=st.integers(0, 2**40 - 1),
-    goods=st.floats(0, 63),
-    fails=st.floats(0, 63),
-    slows=st.floats(0, 63),
-    good_run=st.integers(0, RUN_MOST),
-    fail_run=st.integers(0, RUN_MOST),
-    good_age=ages,
-    fail_age=ages,
-    onset_age=ages,
-    by_word=st.booleans(),
-    trying=st.booleans(),
+    incarnation=st.integers(0, 2**40 - 1),
+    successes=st.floats(0, 63),
+    failures=st.floats(0, 63),
+    slow_successes=st.floats(0, 63),
+    success_run=st.integers(0, MAX_RUN),
+    failure_run=st.integers(0, MAX_RUN),
+    success_age=ages,
+    failure_age=ages,
+    run_age=ages,
+    reported=st.booleans(),
+    under_trial=st.booleans(),
 )
 
 
 def failing(run: int = 2, age: float = 100.0) -> Entry:
-    """A row of failures by the worker's own word."""
-    return Entry(short(W), 0, 0, 0.0, float(run), 0.0, 0, run, math.inf, age, age + 50.0, True)
+    """A run of failures that the worker reported."""
+    return Entry(wire_id(WORKER), 0, 0, 0.0, float(run), 0.0, 0, run, math.inf, age, age + 50.0, True)
 
 
 def serving(age: float = 50.0, run: int = 3) -> Entry:
-    """A row of successes."""
-    return Entry(short(W), 0, 0, float(run), 0.0, 0.0, run, 0, age, math.inf, math.inf)
+    """A run of successes."""
+    return Entry(wire_id(WORKER), 0, 0, float(run), 0.0, 0.0, run, 0, age, math.inf, math.inf)
 
 
-def named(*entries: Entry, believed: bool = True) -> list[Evident]:
-    return [Evident(f"m{i}", entry, believed) for i, entry in enumerate(entries)]
+def observed_by(*entries: Entry, credible: bool = True) -> list[NodeEvidence]:
+    return [NodeEvidence(f"m{i}", entry, credible) for i, entry in enumerate(entries)]
 
 
 class StatementTest(unittest.TestCase):
     @given(st.text("abcdef-", min_size=1, max_size=16), st.lists(entries, max_size=12), st.integers(0, 65535))
-    def test_a_statement_comes_back_as_it_was_told(self, name: str, told: list[Entry], age: int) -> None:
-        data = pack(Statement(name, 7, 9, float(age), 3, 2, tuple(told)), BODY)
-        self.assertLessEqual(len(data), BODY)
-        found = unpack(data)
-        self.assertEqual((found.name, found.life, found.number, found.age_ms), (name, 7, 9, age))
-        self.assertGreaterEqual(len(found.entries), min(len(told), Ways().entries))
-        for was, now in zip(told, found.entries, strict=False):
-            self.assertEqual((was.worker, was.job_class, was.life), (now.worker, now.job_class, now.life))
-            self.assertEqual((was.fail_run, was.by_word, was.trying), (now.fail_run, now.by_word, now.trying))
-            self.assertAlmostEqual(was.fails, now.fails, delta=0.13)
-            if was.fail_age < math.inf and now.fail_age < math.inf:
-                self.assertAlmostEqual(was.fail_age, now.fail_age, delta=20 + 0.02 * was.fail_age)
+    def test_a_statement_survives_encoding_and_decoding(self, name: str, sent: list[Entry], age: int) -> None:
+        data = pack(Statement(name, 7, 9, float(age), 3, 2, tuple(sent)), STATEMENT_BYTES)
+        self.assertLessEqual(len(data), STATEMENT_BYTES)
+        decoded = unpack(data)
+        self.assertEqual(
+            (decoded.name, decoded.incarnation, decoded.number, decoded.age_ms), (name, 7, 9, age)
+        )
+        self.assertGreaterEqual(len(decoded.entries), min(len(sent), GossipSettings().max_entries))
+        for before, after in zip(sent, decoded.entries, strict=False):
+            self.assertEqual(
+                (before.worker, before.job_class, before.incarnation),
+                (after.worker, after.job_class, after.incarnation),
+            )
+            self.assertEqual(
+                (before.failure_run, before.reported, before.under_trial),
+                (after.failure_run, after.reported, after.under_trial),
+            )
+            self.assertAlmostEqual(before.failures, after.failures, delta=0.13)
+            if before.failure_age < math.inf and after.failure_age < math.inf:
+                self.assertAlmostEqual(
+                    before.failure_age, after.failure_age, delta=20 + 0.02 * before.failure_age
+                )
 
     @given(st.binary(max_size=300))
-    def test_bytes_at_random_are_a_statement_or_a_clear_error(self, data: bytes) -> None:
-        panel = Panel("me", 1, BODY, RULES, Ways(), 1)
+    def test_random_bytes_decode_or_raise_bad_statement(self, data: bytes) -> None:
+        panel = Panel("me", 1, STATEMENT_BYTES, RULES, GossipSettings(), 1)
         try:
             panel.received(0.0, data)
         except BadStatement:
             self.assertEqual(panel.dropped, 1)
 
-    def test_evidence_of_unknown_workers_and_of_other_lives_is_counted_and_dropped(self) -> None:
+    def test_observations_of_unknown_workers_and_other_incarnations_are_dropped_and_counted(self) -> None:
         evidence = Evidence(8000.0)
-        evidence.listed({W: 5})
-        self.assertIsNone(evidence.see(W + 1, 5, 0, FAILS, 0.0))
-        self.assertIsNone(evidence.see(W, 4, 0, FAILS, 0.0))  # of the life before
-        self.assertIsNone(evidence.see(W, 5, 999, FAILS, 0.0))
+        evidence.update_workers({WORKER: 5})
+        self.assertIsNone(evidence.observe(WORKER + 1, 5, 0, FAILURE, 0.0))
+        self.assertIsNone(evidence.observe(WORKER, 4, 0, FAILURE, 0.0))  # the previous incarnation
+        self.assertIsNone(evidence.observe(WORKER, 5, 999, FAILURE, 0.0))
         self.assertEqual((evidence.dropped, evidence.records), (3, {}))
-        self.assertIsNotNone(evidence.see(W, 5, 0, FAILS, 0.0))
-        evidence.listed({W: 6})  # a new life: nothing is held against it
+        self.assertIsNotNone(evidence.observe(WORKER, 5, 0, FAILURE, 0.0))
+        evidence.update_workers({WORKER: 6})  # a new incarnation starts without records
         self.assertEqual(evidence.records, {})
 
 
 class JudgeTest(unittest.TestCase):
     @runs(max_examples=200)
     @given(st.lists(entries, max_size=6), st.randoms())
-    def test_the_same_evidence_gives_the_same_verdict_in_any_order(
-        self, told: list[Entry], shuffle: random.Random
+    def test_the_order_of_evidence_does_not_change_the_verdict(
+        self, drawn: list[Entry], shuffle: random.Random
     ) -> None:
-        evidence = named(*told)
+        evidence = observed_by(*drawn)
         first = judge(evidence, 6, RULES)
         shuffle.shuffle(evidence)
-        self.assertEqual(judge(evidence, 6, RULES).word, first.word)
-
-    def test_nobody_condemns_alone_whatever_it_says(self) -> None:
-        absurd = replace(failing(RUN_MOST), fails=1e9)
-        self.assertEqual(judge(named(absurd), 5, RULES).word, Word.GOOD)
-        # beside others that are served it stays alone, however loud it is
-        self.assertEqual(judge(named(absurd, serving(), serving()), 5, RULES).word, Word.GOOD)
-        self.assertEqual(judge(named(absurd), 1, RULES).word, Word.BAD)  # there is nobody else
-        self.assertEqual(judge(named(absurd, failing(1)), 5, RULES).word, Word.BAD)
-        # one who sees most workers fail may be at fault itself, and two of these condemn nobody either
-        self.assertEqual(judge(named(failing(), failing(), believed=False), 5, RULES).word, Word.GOOD)
-
-    def test_failures_on_the_way_count_where_most_that_had_to_do_with_the_worker_saw_them(self) -> None:
-        cut = replace(failing(4), by_word=False)
-        self.assertEqual(judge(named(cut, cut), 5, RULES).word, Word.DOWN)
-        self.assertLess(judge(named(cut, cut, serving(), serving()), 5, RULES).word, Word.BAD)
-        self.assertEqual(judge(named(cut, cut, cut, serving(9000.0)), 5, RULES).word, Word.DOWN)
-
-    def test_fresh_successes_bring_it_back_and_without_fresh_signs_a_verdict_dies(self) -> None:
-        rows = (failing(2, 900.0), failing(2, 800.0))
-        self.assertEqual(judge(named(*rows), 5, RULES).word, Word.BAD)
-        self.assertEqual(judge(named(*rows, serving(100.0, 1)), 5, RULES).word, Word.BAD)  # one is chance
-        self.assertLess(judge(named(*rows, serving(100.0, 2)), 5, RULES).word, Word.BAD)
-        # what was served before the failures began speaks neither way
-        self.assertEqual(judge(named(*rows, serving(5000.0, 9)), 5, RULES).word, Word.BAD)
-        stale = [replace(e, fail_age=RULES.hold_ms + 1, onset_age=RULES.hold_ms + 60) for e in rows]
-        self.assertLess(judge(named(*stale), 5, RULES).word, Word.BAD)
-
-    def test_one_job_in_five_makes_it_doubtful_and_no_more(self) -> None:
-        told = [replace(serving(), goods=8.0, fails=2.0) for _ in range(3)]
-        self.assertEqual(judge(named(*told), 5, RULES).word, Word.DOUBTFUL)
-        self.assertEqual(judge(named(*[replace(e, fails=0.3) for e in told]), 5, RULES).word, Word.GOOD)
-        slow = [replace(serving(), goods=4.0, slows=3.0) for _ in range(3)]
-        self.assertEqual(judge(named(*slow), 5, RULES).word, Word.DOUBTFUL)
+        self.assertEqual(judge(evidence, 6, RULES).level, first.level)
+
+    def test_a_single_node_cannot_exclude_a_worker(self) -> None:
+        extreme = replace(failing(MAX_RUN), failures=1e9)
+        self.assertEqual(judge(observed_by(extreme), 5, RULES).level, Word.GOOD)
+        # The other nodes are served, so a single report is not enough, however many failures it has.
+        self.assertEqual(judge(observed_by(extreme, serving(), serving()), 5, RULES).level, Word.GOOD)
+        self.assertEqual(judge(observed_by(extreme), 1, RULES).level, Word.BAD)  # the only node of the group
+        self.assertEqual(judge(observed_by(extreme, failing(1)), 5, RULES).level, Word.BAD)
+        # Nodes that see most workers fail may be at fault themselves, so even two of them do not count.
+        self.assertEqual(judge(observed_by(failing(), failing(), credible=False), 5, RULES).level, Word.GOOD)
+
+    def test_path_failures_count_only_if_most_recent_observers_saw_them(self) -> None:
+        unreachable = replace(failing(4), reported=False)
+        self.assertEqual(judge(observed_by(unreachable, unreachable), 5, RULES).level, Word.DOWN)
+        self.assertLess(
+            judge(observed_by(unreachable, unreachable, serving(), serving()), 5, RULES).level, Word.BAD
+        )
+        self.assertEqual(
+            judge(observed_by(unreachable, unreachable, unreachable, serving(9000.0)), 5, RULES).level,
+            Word.DOWN,
+        )
+
+    def test_a_verdict_ends_after_new_successes_or_without_new_failures(self) -> None:
+        failure_runs = (failing(2, 900.0), failing(2, 800.0))
+        self.assertEqual(judge(observed_by(*failure_runs), 5, RULES).level, Word.BAD)
+        # A single success may be chance.
+        self.assertEqual(judge(observed_by(*failure_runs, serving(100.0, 1)), 5, RULES).level, Word.BAD)
+        self.assertLess(judge(observed_by(*failure_runs, serving(100.0, 2)), 5, RULES).level, Word.BAD)
+        # Successes from before the failures began do not count.
+        self.assertEqual(judge(observed_by(*failure_runs, serving(5000.0, 9)), 5, RULES).level, Word.BAD)
+        stale = [
+            replace(e, failure_age=RULES.max_verdict_age_ms + 1, run_age=RULES.max_verdict_age_ms + 60)
+            for e in failure_runs
+        ]
+        self.assertLess(judge(observed_by(*stale), 5, RULES).level, Word.BAD)
+
+    def test_failing_one_job_in_five_or_slowness_makes_a_worker_doubtful(self) -> None:
+        partly_failing = [replace(serving(), successes=8.0, failures=2.0) for _ in range(3)]
+        self.assertEqual(judge(observed_by(*partly_failing), 5, RULES).level, Word.DOUBTFUL)
+        self.assertEqual(
+            judge(observed_by(*[replace(e, failures=0.3) for e in partly_failing]), 5, RULES).level,
+            Word.GOOD,
+        )
+        slow = [replace(serving(), successes=4.0, slow_successes=3.0) for _ in range(3)]
+        self.assertEqual(judge(observed_by(*slow), 5, RULES).level, Word.DOUBTFUL)
 
     @given(
         st.dictionaries(st.integers(0, 40), st.floats(0, 60), max_size=40),
         st.integers(0, 60),
         st.floats(0.01, 1),
     )
-    def test_no_more_are_out_than_the_cap_allows_and_the_worst_stay(
+    def test_exclusions_stay_within_the_limit_and_keep_the_worst(
         self, weights: dict[int, float], workers: int, share: float
     ) -> None:
         verdicts = {(w, 0): Verdict(Word.BAD, weight) for w, weight in weights.items()}
-        out = capped(verdicts, workers, replace(RULES, out_most=share))
-        self.assertLessEqual(len(out), share * workers)
-        back = set(weights) - out
-        self.assertTrue(all(weights[a] >= weights[b] for a in out for b in back) or not out)
+        excluded = limit_exclusions(verdicts, workers, replace(RULES, max_excluded_share=share))
+        self.assertLessEqual(len(excluded), share * workers)
+        kept = set(weights) - excluded
+        self.assertTrue(all(weights[a] >= weights[b] for a in excluded for b in kept) or not excluded)
 
 
 class PanelTest(unittest.TestCase):
     def panel(self, name: str = "me") -> Panel:
-        panel = Panel(name, 1, BODY, RULES, Ways(), 1)
-        panel.listed({W: 0.0, W + 1: 0.0, W + 2: 0.0, W + 3: 0.0}, set())
+        panel = Panel(name, 1, STATEMENT_BYTES, RULES, GossipSettings(), 1)
+        panel.update_workers({WORKER: 0.0, WORKER + 1: 0.0, WORKER + 2: 0.0, WORKER + 3: 0.0}, set())
         return panel
 
-    def say(self, name: str, *entries: Entry, number: int = 1, life: int = 1, age: float = 0.0) -> bytes:
-        return pack(Statement(name, life, number, age, 4, 1, entries), BODY)
+    def statement(
+        self, name: str, *entries: Entry, number: int = 1, incarnation: int = 1, age: float = 0.0
+    ) -> bytes:
+        return pack(Statement(name, incarnation, number, age, 4, 1, entries), STATEMENT_BYTES)
 
     @given(st.lists(st.integers(0, 5), min_size=1, max_size=30))
-    def test_statements_lost_doubled_and_overtaken_are_counted_once(self, order: list[int]) -> None:
-        """Whatever arrives of a node's statements, what is held is the latest of those that did."""
-        said = [self.say("a", failing(1 + n), number=n) for n in range(6)]
+    def test_lost_duplicated_and_reordered_statements_count_once(self, order: list[int]) -> None:
+        """The panel keeps the latest of the statements that arrived, in whatever order they did."""
+        statements = [self.statement("a", failing(1 + n), number=n) for n in range(6)]
         panel = self.panel()
         for n in order:
-            panel.received(1000.0, said[n])
-        self.assertEqual(panel.heard["a"].told.entries[0].fail_run, 1 + max(order))
-        self.assertEqual(len(panel.heard), 1)
+            panel.received(1000.0, statements[n])
+        self.assertEqual(panel.peer_statements["a"].statement.entries[0].failure_run, 1 + max(order))
+        self.assertEqual(len(panel.peer_statements), 1)
 
-    def test_a_restarted_node_is_heard_and_the_recording_of_its_earlier_life_is_not(self) -> None:
+    def test_a_statement_of_a_previous_incarnation_is_ignored_after_a_restart(self) -> None:
         panel = self.panel()
-        panel.received(1000.0, self.say("a", failing(4), number=900, life=1))
-        panel.received(2000.0, self.say("a", number=1, life=2))
-        panel.received(2100.0, self.say("a", failing(4), number=901, life=1, age=1500.0))
-        self.assertEqual(panel.heard["a"].told.entries, ())
+        panel.received(1000.0, self.statement("a", failing(4), number=900, incarnation=1))
+        panel.received(2000.0, self.statement("a", number=1, incarnation=2))
+        panel.received(2100.0, self.statement("a", failing(4), number=901, incarnation=1, age=1500.0))
+        self.assertEqual(panel.peer_statements["a"].statement.entries, ())
 
-    def test_a_restart_clears_the_verdict_whichever_is_heard_first(self) -> None:
+    def test_a_worker_restart_clears_its_verdict_whichever_source_reports_it_first(self) -> None:
         for first in ("list", "statement"):
             panel = self.panel()
-            old, new = failing(4), replace(failing(4), life=life_of(5000.0))
-            panel.received(0.0, self.say("a", old))
-            panel.received(0.0, self.say("b", old))
+            old, new = failing(4), replace(failing(4), incarnation=incarnation_of(5000.0))
+            panel.received(0.0, self.statement("a", old))
+            panel.received(0.0, self.statement("b", old))
             panel.tick(0.0, ("a", "b"))
-            self.assertEqual(panel.out, {short(W)})
+            self.assertEqual(panel.excluded, {wire_id(WORKER)})
             if first == "list":
-                panel.listed({W: 5000.0, W + 1: 0.0, W + 2: 0.0, W + 3: 0.0}, {W})
+                panel.update_workers(
+                    {WORKER: 5000.0, WORKER + 1: 0.0, WORKER + 2: 0.0, WORKER + 3: 0.0}, {WORKER}
+                )
                 panel.tick(200.0, ("a", "b"))
-                self.assertEqual(panel.out, set())
-            # of a life that the list here does not know yet: neither for nor against the one it knows
+                self.assertEqual(panel.excluded, set())
+            # Evidence on an incarnation that is not listed yet does not affect the listed one.
             for name in "ab":
-                panel.received(300.0, self.say(name, new, number=2))
+                panel.received(300.0, self.statement(name, new, number=2))
             panel.tick(400.0, ("a", "b"))
-            self.assertEqual(panel.out, {short(W)} if first == "list" else set())
-            if first == "statement":  # two say so: it is shown as cold until the list says so
-                self.assertEqual(panel.started(400.0), {W: 5000.0})
-                panel.heard.pop("b")
-                self.assertEqual(panel.started(400.0), {})  # one alone may be wrong
+            self.assertEqual(panel.excluded, {wire_id(WORKER)} if first == "list" else set())
+            if first == "statement":  # a quorum of two reports the later start
+                self.assertEqual(panel.later_starts(400.0), {WORKER: 5000.0})
+                panel.peer_statements.pop("b")
+                self.assertEqual(panel.later_starts(400.0), {})  # a single node may be wrong
 
-    def test_one_that_was_stopped_says_nothing_of_what_failed_meanwhile_and_tries_nothing(self) -> None:
+    def test_a_node_that_stalled_does_not_report_failures_from_that_time(self) -> None:
         panel = self.panel()
         for _ in range(4):
-            panel.see(0.0, W, 0.0, 0, Sign.PATH)
-        panel.stopped(10.0)
-        self.assertFalse([e for e in panel.statement(20.0).entries if e.fail_run])
+            panel.observe(0.0, WORKER, 0.0, 0, Observation.PATH_FAILURE)
+        panel.recovered_from_stall(10.0)
+        self.assertFalse([e for e in panel.statement(20.0).entries if e.failure_run])
 
-    def test_what_is_kept_is_bounded(self) -> None:
-        panel = Panel("me", 1, BODY, RULES, Ways(), 1)
-        panel.listed({n: 0.0 for n in range(6000)}, set())
+    def test_memory_and_statement_size_are_bounded(self) -> None:
+        panel = Panel("me", 1, STATEMENT_BYTES, RULES, GossipSettings(), 1)
+        panel.update_workers({n: 0.0 for n in range(6000)}, set())
         for n in range(6000):
-            panel.see(float(n), n, 0.0, 0, Sign.PATH)
-            panel.received(float(n), self.say(f"m{n}", failing(1)))
+            panel.observe(float(n), n, 0.0, 0, Observation.PATH_FAILURE)
+            panel.received(float(n), self.statement(f"m{n}", failing(1)))
         self.assertLessEqual(len(panel.evidence.records), 4096)
-        self.assertLessEqual(len(panel.heard), 4096)
-        body = pack(panel.statement(6000.0), BODY)
-        self.assertLessEqual(len(body), BODY)
+        self.assertLessEqual(len(panel.peer_statements), 4096)
+        body = pack(panel.statement(6000.0), STATEMENT_BYTES)
+        self.assertLessEqual(len(body), STATEMENT_BYTES)
 
 
 class WorldTest(unittest.TestCase):
-    """Many members, in virtual time."""
+    """Many members in virtual time."""
 
-    def world(self, seed: int, loss: float, together: bool = True, members: int = 9) -> tuple[World, int]:
-        world = World(members, 16, seed, loss, rate=5.0, together=together)
+    def world(
+        self, seed: int, loss: float, shared_verdicts: bool = True, members: int = 9
+    ) -> tuple[World, int]:
+        world = World(members, 16, seed, loss, rate=5.0, shared_verdicts=shared_verdicts)
         return world, world.workers[seed % 16]
 
-    def lost(self, world: World, count: int) -> bool:
-        return len(world.lost) >= count
+    def enough_failed(self, world: World, count: int) -> bool:
+        return len(world.failed) >= count
 
-    def sometimes(self, seed: int, share: float) -> Callable[[float, str, int], Sign]:
+    def random_failures(self, seed: int, share: float) -> Callable[[float, str, int], Observation]:
         chance = random.Random(seed)
-        return lambda now, name, worker: FAILS if chance.random() < share else GOOD
+        return lambda now, name, worker: FAILURE if chance.random() < share else SUCCESS
 
-    def test_what_a_bad_worker_costs_and_how_soon_all_act_stay_within_their_bounds(self) -> None:
+    def test_shared_verdicts_reduce_failed_jobs_and_exclude_a_bad_worker_in_time(self) -> None:
         for seed, loss in itertools.product(range(4), (0.0, 0.1, 0.3)):
-            lost = {}
-            for together in (True, False):
-                world, bad = self.world(seed, loss, together)
+            failed = {}
+            for shared_verdicts in (True, False):
+                world, bad = self.world(seed, loss, shared_verdicts)
                 world.network.run(3000)
-                world.spoil(bad)
-                world.network.until(partial(self.lost, world, 3), 10_000)
-                if together:
-                    took = world.until_out(bad, 9, 5000)
-                    self.assertLessEqual(took, 500 if loss < 0.2 else 1500, (seed, loss))
+                world.fail_worker(bad)
+                world.network.until(partial(self.enough_failed, world, 3), 10_000)
+                if shared_verdicts:
+                    elapsed_ms = world.time_until_excluded(bad, 9, 5000)
+                    self.assertLessEqual(elapsed_ms, 500 if loss < 0.2 else 1500, (seed, loss))
                 world.network.run(15_000)
-                lost[together] = len(world.lost)
-            self.assertLess(lost[True], 0.55 * lost[False], (seed, loss, lost))
+                failed[shared_verdicts] = len(world.failed)
+            self.assertLess(failed[True], 0.55 * failed[False], (seed, loss, failed))
 
-    def test_a_worker_that_recovers_comes_back_and_one_node_at_a_time_tries_it(self) -> None:
+    def test_a_recovered_worker_returns_and_trials_run_at_one_node_at_a_time(self) -> None:
         for seed in range(6):
             world, bad = self.world(seed, 0.1)
-            world.spoil(bad)
-            world.until_out(bad, 9, 10_000)
+            world.fail_worker(bad)
+            world.time_until_excluded(bad, 9, 10_000)
             began = world.network.now + 200
-            trying = 0
+            max_trying = 0
             for _ in range(400):
                 world.network.run(25)
-                now = [n for n, m in world.members.items() if m.panel.trying]
-                trying = max(trying, len(now))
-            self.assertLessEqual(trying, 2, seed)  # two that had not heard of each other yet, at most
-            tried = [t for t, _, w in world.sent if w == bad and t > began]
-            self.assertTrue(tried)
-            self.assertLess(len(tried), 14, seed)  # in ten seconds, of nine nodes together
-            world.mend()
-            took = world.until_out(bad, 0, 20_000)
-            self.assertLess(took, RULES.try_most_ms + 4000, seed)
-
-    def test_a_cut_lets_each_side_go_by_what_it_sees_and_after_it_all_hold_the_same(self) -> None:
+                trying = [n for n, m in world.members.items() if m.panel.trials]
+                max_trying = max(max_trying, len(trying))
+            self.assertLessEqual(max_trying, 2, seed)  # two that have not learned of each other yet
+            trial_times = [t for t, _, w in world.sent if w == bad and t > began]
+            self.assertTrue(trial_times)
+            self.assertLess(len(trial_times), 14, seed)  # in ten seconds, at nine nodes together
+            world.recover_all()
+            elapsed_ms = world.time_until_excluded(bad, 0, 20_000)
+            self.assertLess(elapsed_ms, RULES.max_trial_delay_ms + 4000, seed)
+
+    def test_partition_sides_judge_separately_and_converge_after_it_heals(self) -> None:
         world, bad = self.world(3, 0.0, members=8)
         left = {f"m{i}" for i in range(4)}
         side = {world.addresses[n]: n in left for n in world.members}
         world.network.cut = lambda a, b: side[a] != side[b]
         for name, member in world.members.items():
             member.up = tuple(n for n in world.members if (n in left) == (name in left))
-        world.spoil(bad, *left)
-        world.network.until(lambda: world.out(bad) == left, 10_000)
+        world.fail_worker(bad, *left)
+        world.network.until(lambda: world.excluded_at(bad) == left, 10_000)
         world.network.run(5000)
-        self.assertEqual(world.out(bad), left)
+        self.assertEqual(world.excluded_at(bad), left)
         world.network.cut = lambda a, b: False
         for member in world.members.values():
             member.up = tuple(world.members)
-        world.mend()
-        took = world.until_out(bad, 0, 20_000)
-        self.assertLess(took, 10_000)
+        world.recover_all()
+        elapsed_ms = world.time_until_excluded(bad, 0, 20_000)
+        self.assertLess(elapsed_ms, 10_000)
 
-    def test_all_workers_fail_at_once_and_nobody_is_condemned_beyond_the_cap(self) -> None:
+    def test_exclusions_stay_within_the_limit_when_all_workers_fail(self) -> None:
         world, _ = self.world(5, 0.1)
         world.network.run(3000)
-        world.fails = lambda now, name, worker: FAILS
+        world.result_of = lambda now, name, worker: FAILURE
         for _ in range(40):
             world.network.run(250)
             for member in world.members.values():
-                self.assertLessEqual(len(member.panel.out), RULES.out_most * 16)
+                self.assertLessEqual(len(member.panel.excluded), RULES.max_excluded_share * 16)
 
-    def test_good_workers_stay_in_while_one_job_in_a_hundred_fails(self) -> None:
-        out = 0
+    def test_workers_with_one_percent_failures_are_rarely_excluded(self) -> None:
+        exclusions = 0
         for seed in range(3):
             world, _ = self.world(seed, 0.1)
-            world.fails = self.sometimes(seed, 0.01)
+            world.result_of = self.random_failures(seed, 0.01)
             for _ in range(120):
                 world.network.run(500)
-                out += sum(len(m.panel.out) for m in world.members.values())
-        self.assertLessEqual(out, 0.001 * 3 * 120 * 9 * 16)
+                exclusions += sum(len(m.panel.excluded) for m in world.members.values())
+        self.assertLessEqual(exclusions, 0.001 * 3 * 120 * 9 * 16)
 
 
-class WordsTest(unittest.TestCase):
-    def words(self, seed: int) -> Words:
+class OperatorCommandsTest(unittest.TestCase):
+    def commands(self, seed: int) -> OperatorCommands:
         chance = random.Random(seed)
-        return Words(lambda: chance.getrandbits(32))
+        return OperatorCommands(lambda: chance.getrandbits(32))
 
-    def tell(self, one: Words, other: Words) -> None:
+    def sync(self, one: OperatorCommands, other: OperatorCommands) -> None:
         for uid in list(one.subjects):
-            other.merge(*unpack_word(one.pack(uid)))
+            other.merge(*unpack_command(one.pack(uid)))
 
     @runs(max_examples=150, deadline=None)
     @given(st.lists(st.tuples(st.sampled_from("slt"), st.integers(0, 2), st.integers(0, 2)), max_size=25))
-    def test_words_in_any_order_end_alike_and_no_ban_is_lifted_by_who_did_not_know_it(
-        self, acts: list[tuple[str, int, int]]
+    def test_commands_converge_in_any_order_and_unknown_bans_are_not_lifted(
+        self, actions: list[tuple[str, int, int]]
     ) -> None:
-        nodes = [self.words(seed) for seed in range(3)]
-        known: list[set[int]] = [set(), set(), set()]  # bans that each has heard of
+        nodes = [self.commands(seed) for seed in range(3)]
+        known_bans: list[set[int]] = [set(), set(), set()]  # ids of the bans that each node has received
         lifted: set[int] = set()
-        for act, at, other in acts:
-            if act == "s" and sum(act == "s" for act, _, _ in acts) <= 8:
+        for action, at, other in actions:
+            if action == "s" and sum(action == "s" for action, _, _ in actions) <= 8:
                 before = set(nodes[at].subjects.get("w", Subject()).bans)
                 nodes[at].ban("w")
-                known[at] |= set(nodes[at].subjects["w"].bans) - before
-            elif act == "l":
+                known_bans[at] |= set(nodes[at].subjects["w"].bans) - before
+            elif action == "l":
                 nodes[at].lift("w")
-                lifted |= known[at]
-            elif act == "t":
-                self.tell(nodes[at], nodes[other])
-                known[other] |= known[at]
+                lifted |= known_bans[at]
+            elif action == "t":
+                self.sync(nodes[at], nodes[other])
+                known_bans[other] |= known_bans[at]
         for a, b in itertools.product(nodes, nodes):
-            self.tell(a, b)
+            self.sync(a, b)
         for a, b in itertools.product(nodes, nodes):
-            self.tell(a, b)
-        standing = set().union(*known) - lifted
+            self.sync(a, b)
+        standing = set().union(*known_bans) - lifted
         for node in nodes:
             self.assertEqual(node.banned("w"), bool(standing))
             self.assertEqual(node.digest(), nodes[0].digest())
 
     @given(st.lists(st.integers(0, 2), min_size=9, max_size=24))
-    def test_of_more_bans_than_are_kept_all_nodes_keep_the_same(self, acts: list[int]) -> None:
-        nodes = [self.words(seed) for seed in range(3)]
-        for at in acts:
+    def test_all_nodes_keep_the_same_bans_beyond_the_limit(self, actions: list[int]) -> None:
+        nodes = [self.commands(seed) for seed in range(3)]
+        for at in actions:
             nodes[at].ban("w")
         for _ in range(2):
             for a, b in itertools.product(nodes, nodes):
-                self.tell(a, b)
+                self.sync(a, b)
         self.assertEqual({node.digest() for node in nodes}, {nodes[0].digest()})
         self.assertTrue(all(node.banned("w") for node in nodes))
 
     @given(st.binary(max_size=230))
-    def test_bytes_at_random_are_a_word_or_a_clear_error(self, body: bytes) -> None:
-        words = self.words(1)
+    def test_random_bytes_decode_or_raise_invalid_command(self, body: bytes) -> None:
+        commands = self.commands(1)
         try:
-            words.merge(*unpack_word(body))
-        except BadWord:
-            self.assertEqual(words.subjects, {})
+            commands.merge(*unpack_command(body))
+        except InvalidCommand:
+            self.assertEqual(commands.subjects, {})
 
-    def test_what_is_kept_of_a_worker_fits_a_datagram(self) -> None:
-        words = self.words(1)
+    def test_the_state_of_a_subject_fits_in_a_datagram(self) -> None:
+        commands = self.commands(1)
         uid = "w" * 64
         for _ in range(40):
-            words.ban(uid)
+            commands.ban(uid)
             if random.Random(1).random() < 0.5:
-                words.lift(uid)
+                commands.lift(uid)
         for _ in range(30):
-            words.ban(uid)
-        self.assertLessEqual(len(words.pack(uid)) + 4, BODY)
-        with self.assertRaisesRegex(BadWord, "64 bytes"):
-            words.ban("w" * 65)
+            commands.ban(uid)
+        self.assertLessEqual(len(commands.pack(uid)) + 4, STATEMENT_BYTES)
+        with self.assertRaisesRegex(InvalidCommand, "64 bytes"):
+            commands.ban("w" * 65)
 
 
-class ReachTest(unittest.TestCase):
-    def test_whoever_answers_can_be_reached_whatever_it_answers(self) -> None:
+class ReachabilityTest(unittest.TestCase):
+    def test_a_worker_that_reports_a_failure_is_reachable(self) -> None:
         evidence = Evidence(8000.0)
-        evidence.listed({W: 0})
-        evidence.see(W, 0, REACH, Sign.PATH, 0.0)
-        evidence.see(W, 0, 1, Sign.WORD, 10.0)
-        self.assertEqual(evidence.records[W, REACH].fail_run, 0)
-        self.assertEqual(evidence.records[W, 1].fail_run, 1)
+        evidence.update_workers({WORKER: 0})
+        evidence.observe(WORKER, 0, REACHABILITY, Observation.PATH_FAILURE, 0.0)
+        evidence.observe(WORKER, 0, 1, Observation.REPORTED_FAILURE, 10.0)
+        self.assertEqual(evidence.records[WORKER, REACHABILITY].failure_run, 0)
+        self.assertEqual(evidence.records[WORKER, 1].failure_run, 1)
 
 
-class Told:
-    """Neighbours whose news, when they are heard, is a change of the list: as a ban for all is."""
+class NeighboursThatChangeTheList:
+    """Neighbours that change the worker list when the engine asks for shares, as a ban for all nodes does."""
 
     fleet = True
 
     def __init__(self) -> None:
         self.engine: Engine | None = None
-        self.left = 3
+        self.remaining_changes = 3
 
     def shares(self) -> tuple[api.Share, ...]:
-        if self.left and self.engine is not None:
-            self.left -= 1
+        if self.remaining_changes and self.engine is not None:
+            self.remaining_changes -= 1
             entry = api.WorkerEntry(worker=7, state=api.WorkerState.DRAINING)
             self.engine.worker_list_changed(api.WorkerList(api.ListForm.DELTA, (entry,)))
             self.engine.step_now()
@@ -425,18 +453,18 @@
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
-    async def test_what_is_heard_as_a_step_begins_is_part_of_it_and_no_step_of_its_own(self) -> None:
+    async def test_a_list_change_made_as_a_step_begins_joins_that_step(self) -> None:
         settings = api.Settings(classes=(api.JobClass(aim_ms=400, deadline_ms=5000),))
-        told: Any = Told()
+        neighbours: Any = NeighboursThatChangeTheList()
         nowhere: Any = None
-        engine = told.engine = Engine(settings, Limits(), Clock(), 1, nowhere, told)
+        engine = neighbours.engine = Engine(settings, Limits(), Clock(), 1, nowhere, neighbours)
         with self.assertNoLogs("pebbledrift.core.engine", "ERROR"):
             engine.worker_list_changed(api.WorkerList(api.ListForm.FULL, (api.WorkerEntry(worker=7),)))
             engine.step_now()
-        self.assertEqual(told.left, 2)
-        self.assertFalse(engine._dispatcher.table.workers[7].up)  # the list came first, then the ban
+        self.assertEqual(neighbours.remaining_changes, 2)
+        self.assertFalse(engine._dispatcher.table.workers[7].up)  # the list was applied before the ban
 
-    async def test_the_module_leaves_a_worker_alone_and_takes_it_back_as_new(self) -> None:
+    async def test_the_module_excludes_a_worker_and_readmits_it_with_a_fresh_limit(self) -> None:
         settings = api.Settings(classes=(api.JobClass(aim_ms=400, deadline_ms=5000),), tells_start=True)
         module = Dispatcher(settings, 1)
         entries = tuple(api.WorkerEntry(worker=n) for n in (7, 8))
@@ -446,7 +474,7 @@
             actions = module.step(now, [api.Arrival(job, 0, grace_ms=5000.0, key=1)])
             return [a.worker for a in actions if isinstance(a, api.Send)]
 
-        self.assertEqual([*sent(1.0, "a"), *sent(2.0, "b")], [8])  # the other one has a single slot
+        self.assertEqual([*sent(1.0, "a"), *sent(2.0, "b")], [8])  # the other worker has a single slot
         module.table.workers[7].limit = 9.0
         module.step(3.0, [api.Verdict(7, 0, rank=-1)])
         self.assertEqual(module.table.workers[7].limit, 1.0)
