--- a/bench/peers.py
+++ b/bench/peers.py
@@ -1,7 +1,7 @@
 """What hearing the other nodes costs one node: python -m bench.peers [--nodes 40 200].
 
-One process tells at the rate of a whole fleet, another hears it by PeerSocket and Fills, stepping as often as
-a node with its share of the jobs does. Printed: datagrams heard, CPU a second, wakes a second.
+One process tells at the rate of a whole fleet, another hears it by PeerSocket and OccupancyTable, stepping
+as often as a node with its share of the jobs does. Printed: datagrams heard, CPU a second, wakes a second.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import time
 
 from pebbledrift.bounds import Limits
-from pebbledrift.fleet.fills import FORM, Fills
+from pebbledrift.fleet.fills import FORM, OccupancyTable
 from pebbledrift.net.datagrams import PeerSocket
 
 TOLD_A_SECOND = 4.0  # by each node: a start and an end of two jobs
@@ -25,12 +25,12 @@
 def tell(where: tuple[str, int], end: socket.socket, nodes: int, seconds: float) -> None:
     """The rest of the fleet, each datagram at its own moment."""
     draw = random.Random(2)
-    fills = Fills(256, 2000.0, 5000.0)
+    fills = OccupancyTable(256, 2000.0, 5000.0)
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         time.sleep(draw.expovariate((nodes - 1) * TOLD_A_SECOND))
-        fills.filled(draw.choice(WORKERS), draw.choice((1.0, -1.0)))
-        data = fills.tell(time.monotonic() * 1000, time.time() * 1000)
+        fills.add_slots(draw.choice(WORKERS), draw.choice((1.0, -1.0)))
+        data = fills.next_datagram(time.monotonic() * 1000, time.time() * 1000)
         if data is not None:
             end.sendto(data, where)
 
@@ -41,15 +41,15 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as end:
         end.bind(("127.0.0.1", 0))
         peers = PeerSocket(limits, (end.getsockname(),))
-        fills = Fills(limits.datagram_bytes, limits.fills_again_ms, limits.fills_believed_ms)
+        fills = OccupancyTable(limits.datagram_bytes, limits.fills_again_ms, limits.fills_believed_ms)
         for worker in WORKERS:
-            fills.know(worker)
+            fills.add_worker(worker)
         heard = 0
 
         def take(data: bytes, peer: tuple[str, int]) -> None:
             nonlocal heard
             heard += 1
-            fills.take(1, data, time.monotonic() * 1000, time.time() * 1000)
+            fills.receive(1, data, time.monotonic() * 1000, time.time() * 1000)
 
         peers.readers[FORM] = take
         where = peers.listen(("127.0.0.1", 0), shared=False)
@@ -62,7 +62,7 @@
         while time.monotonic() < until:
             await asyncio.sleep(1 / STEPS_A_SECOND)
             peers.read()
-            fills.news(time.monotonic() * 1000)
+            fills.take_changes(time.monotonic() * 1000)
         used = time.process_time() - began
         os.waitpid(child, 0)
         peers.close()
--- a/pebbledrift/fleet/__init__.py
+++ b/pebbledrift/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the nodes of one fleet tell each other so that forty of them do not act as if each were alone."""
+"""Reports that the nodes of one fleet exchange, so that many nodes do not overload the same workers."""
--- a/pebbledrift/fleet/fills.py
+++ b/pebbledrift/fleet/fills.py
@@ -1,141 +1,147 @@
-"""Who fills what: each node's slots at each worker, told in few bytes and believed for a short while. No I/O.
+"""Occupancy reports: the slots that each node occupies at each worker. No I/O.
 
-A datagram is a form byte, the time of telling (eight bits, in units of 64 ms) and entries of 16 bits,
-big-endian: twelve of the worker's number, four of the slots that the sender fills there. Entries are
-absolute and stand for `believed_ms`: one that is lost, doubled, cut off or forged bends the choice of a
-worker for that long and nothing else. No rule rests on them.
+A datagram is a form byte, the time of sending (eight bits, in units of 64 ms) and entries of 16 bits,
+big-endian: twelve bits of the worker's number and four bits for the slots that the sender occupies there.
+Entries are absolute values and expire after `expiry_ms`. A datagram that is lost, duplicated, truncated or
+forged can therefore affect the choice of workers only for that time. No guarantee depends on these reports.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-FORM = 0x46  # no kind of the store's datagrams
-HEAD = 2
-UNIT_MS = 64.0  # of the time of telling, which comes round after 16 s
-NAME_BITS, SLOT_MOST = 12, 15
+FORM = 0x46  # differs from every datagram kind of the store
+HEADER_BYTES = 2
+TIMESTAMP_UNIT_MS = 64.0  # the eight-bit time of sending wraps around after 16 s
+SHORT_ID_BITS, MAX_ENTRY_SLOTS = 12, 15
 
 
-def short(worker: int) -> int:
-    """The part of a worker's number that is told; of a hundred workers a pair may share one."""
-    return worker & (1 << NAME_BITS) - 1
+def short_id(worker: int) -> int:
+    """Returns the bits of a worker's number that are sent; among a hundred workers, two may share them."""
+    return worker & (1 << SHORT_ID_BITS) - 1
 
 
-class Fills:
-    """The table of one node.
+class OccupancyTable:
+    """One node's table of the slots that it and its peers occupy.
 
-    Times are milliseconds: `now_ms` of this node's own clock, `common_ms` of one that
-    all nodes read alike, which may be stepped.
+    Times are in milliseconds: `now_ms` is read from this node's own clock, `common_ms` from the clock that
+    all nodes share, which may be stepped. Workers are kept by their short ids.
     """
 
-    def __init__(self, datagram_bytes: int, again_ms: float, believed_ms: float) -> None:
-        self.entries_most = (datagram_bytes - HEAD) // 2
-        self.again_ms = again_ms  # what goes on is told again after this
-        self.believed_ms = believed_ms  # what is not told again is forgotten after this
-        self._mine: dict[int, float] = {}
-        self._told: dict[int, tuple[int, float]] = {}  # of mine: what the others were told last, and when
-        self._due: dict[int, None] = {}  # to be told, in this order
-        self._theirs: dict[tuple[int, int], tuple[int, float]] = {}  # by peer and worker: slots, heard at
-        self._latest: dict[int, float] = {}  # by peer: the time of telling of its newest datagram
-        self._ageing: deque[tuple[float, tuple[int, int]]] = deque()
-        self._total: dict[int, int] = {}
-        self._workers: dict[int, set[int]] = {}  # numbers by their short names
+    def __init__(self, datagram_bytes: int, resend_ms: float, expiry_ms: float) -> None:
+        self.max_entries = (datagram_bytes - HEADER_BYTES) // 2
+        self.resend_ms = resend_ms  # occupied slots are reported again after this time
+        self.expiry_ms = expiry_ms  # an entry of a peer that is not repeated within this time is dropped
+        self._own_slots: dict[int, float] = {}
+        # Own entries as last reported to the peers, with the time of the report.
+        self._reported: dict[int, tuple[int, float]] = {}
+        self._pending: dict[int, None] = {}  # own entries to report, in this order
+        # By peer and worker: the occupied slots and the time of receipt.
+        self._peer_slots: dict[tuple[int, int], tuple[int, float]] = {}
+        self._latest_sent_at: dict[int, float] = {}  # by peer: sending time of its newest datagram
+        self._expiry_queue: deque[tuple[float, tuple[int, int]]] = deque()
+        self._peer_totals: dict[int, int] = {}
+        self._workers: dict[int, set[int]] = {}  # full worker numbers by short id
         self._changed: set[int] = set()
 
-    # -- what this node fills
+    # -- slots that this node occupies
 
-    def filled(self, worker: int, slots: float) -> None:
-        """This node fills so many slots more, or fewer, at a worker."""
-        name = short(worker)
-        now = max(0.0, self._mine.get(name, 0.0) + slots)
-        if now:
-            self._mine[name] = now
+    def add_slots(self, worker: int, slots: float) -> None:
+        """Adds to the slots that this node occupies at a worker; `slots` may be negative."""
+        worker_id = short_id(worker)
+        occupied = max(0.0, self._own_slots.get(worker_id, 0.0) + slots)
+        if occupied:
+            self._own_slots[worker_id] = occupied
         else:
-            self._mine.pop(name, None)
-        self._due[name] = None
+            self._own_slots.pop(worker_id, None)
+        self._pending[worker_id] = None
 
     @property
-    def goes_on(self) -> bool:
-        """Whether the others were told of anything that has not ended yet."""
-        return bool(self._told)
-
-    def tell(self, now_ms: float, common_ms: float) -> bytes | None:
-        """The next datagram, or None; more may be due than one holds."""
-        for name, (_, at) in self._told.items():
-            if now_ms - at >= self.again_ms:
-                self._due[name] = None
+    def has_reported_slots(self) -> bool:
+        """Whether any entry was last reported to the peers as occupied."""
+        return bool(self._reported)
+
+    def next_datagram(self, now_ms: float, common_ms: float) -> bytes | None:
+        """Returns the next datagram to send, or None. Call it again until it returns None."""
+        for worker_id, (_, reported_at) in self._reported.items():
+            if now_ms - reported_at >= self.resend_ms:
+                self._pending[worker_id] = None
         entries = b""
-        while self._due and len(entries) < 2 * self.entries_most:
-            name = next(iter(self._due))
-            del self._due[name]
-            slots = min(round(self._mine.get(name, 0.0)), SLOT_MOST)
-            if self._told.get(name, (0, 0.0))[0] == 0 == slots:
-                continue  # it came and went between two datagrams
+        while self._pending and len(entries) < 2 * self.max_entries:
+            worker_id = next(iter(self._pending))
+            del self._pending[worker_id]
+            slots = min(round(self._own_slots.get(worker_id, 0.0)), MAX_ENTRY_SLOTS)
+            if self._reported.get(worker_id, (0, 0.0))[0] == 0 == slots:
+                continue  # the slots were occupied and released between two datagrams
             if slots:
-                self._told[name] = slots, now_ms
+                self._reported[worker_id] = slots, now_ms
             else:
-                del self._told[name]
-            entries += (name << 4 | slots).to_bytes(2, "big")
+                del self._reported[worker_id]
+            entries += (worker_id << 4 | slots).to_bytes(2, "big")
         if not entries:
             return None
-        return bytes([FORM, int(common_ms / UNIT_MS) & 0xFF]) + entries
-
-    def mine(self, worker: int) -> float:
-        """Slots that this node fills at a worker."""
-        return self._mine.get(short(worker), 0.0)
-
-    def total(self, worker: int) -> float:
-        """Slots that all nodes fill there, as far as this one has heard."""
-        return self.mine(worker) + self._total.get(short(worker), 0)
-
-    # -- what the others fill
-
-    def know(self, worker: int) -> None:
-        """This worker may be named from now on."""
-        self._workers.setdefault(short(worker), set()).add(worker)
-        if self._total.get(short(worker)):
-            self._changed.add(short(worker))
-
-    def forget(self, worker: int) -> None:
-        """This worker is not asked for any more."""
-        named = self._workers.get(short(worker), set())
-        named.discard(worker)
-        if not named:
-            self._workers.pop(short(worker), None)
-
-    def take(self, peer: int, data: bytes, now_ms: float, common_ms: float) -> None:
-        """A peer's datagram; ValueError if it cannot be read. Old and overtaken ones are passed over."""
-        if len(data) < HEAD or data[0] != FORM or (len(data) - HEAD) % 2:
-            raise ValueError("not what a peer fills")
-        age = ((int(common_ms / UNIT_MS) - data[1] + 0x80) & 0xFF) - 0x80
-        told_ms = common_ms - age * UNIT_MS
-        # guards against news late by seconds, and a clock that is ahead of ours
-        if abs(age) * UNIT_MS > self.believed_ms:
+        return bytes([FORM, int(common_ms / TIMESTAMP_UNIT_MS) & 0xFF]) + entries
+
+    def own_slots(self, worker: int) -> float:
+        """Returns the slots that this node occupies at a worker."""
+        return self._own_slots.get(short_id(worker), 0.0)
+
+    def total_slots(self, worker: int) -> float:
+        """Returns the slots that all nodes occupy at a worker, by the reports received so far."""
+        return self.own_slots(worker) + self._peer_totals.get(short_id(worker), 0)
+
+    # -- slots that the peers occupy
+
+    def add_worker(self, worker: int) -> None:
+        """Includes a worker in the results of `take_changes`."""
+        self._workers.setdefault(short_id(worker), set()).add(worker)
+        if self._peer_totals.get(short_id(worker)):
+            self._changed.add(short_id(worker))
+
+    def remove_worker(self, worker: int) -> None:
+        """Excludes a worker from the results of `take_changes`."""
+        same_id = self._workers.get(short_id(worker), set())
+        same_id.discard(worker)
+        if not same_id:
+            self._workers.pop(short_id(worker), None)
+
+    def receive(self, peer: int, data: bytes, now_ms: float, common_ms: float) -> None:
+        """Applies a peer's datagram; outdated and reordered ones are ignored.
+
+        Raises ValueError if the datagram is malformed.
+        """
+        if len(data) < HEADER_BYTES or data[0] != FORM or (len(data) - HEADER_BYTES) % 2:
+            raise ValueError("malformed occupancy report")
+        age = ((int(common_ms / TIMESTAMP_UNIT_MS) - data[1] + 0x80) & 0xFF) - 0x80
+        sent_at_ms = common_ms - age * TIMESTAMP_UNIT_MS
+        # Ignores datagrams that are seconds late and those of a peer whose clock is ahead of this node's.
+        if abs(age) * TIMESTAMP_UNIT_MS > self.expiry_ms:
             return
-        # what is older than the latest by more than that was not overtaken: the clock was stepped back
-        if UNIT_MS < self._latest.get(peer, 0.0) - told_ms <= self.believed_ms:
+        # A datagram that is older than the latest one by more than `expiry_ms` was not reordered: the common
+        # clock was stepped back.
+        if TIMESTAMP_UNIT_MS < self._latest_sent_at.get(peer, 0.0) - sent_at_ms <= self.expiry_ms:
             return
-        self._latest[peer] = told_ms
-        for at in range(HEAD, len(data), 2):
-            entry = int.from_bytes(data[at : at + 2], "big")
-            self._set((peer, entry >> 4), entry & SLOT_MOST, now_ms)
+        self._latest_sent_at[peer] = sent_at_ms
+        for offset in range(HEADER_BYTES, len(data), 2):
+            entry = int.from_bytes(data[offset : offset + 2], "big")
+            self._set((peer, entry >> 4), entry & MAX_ENTRY_SLOTS, now_ms)
 
-    def _set(self, which: tuple[int, int], slots: int, now_ms: float) -> None:
-        before = self._theirs.pop(which, (0, 0.0))[0]
+    def _set(self, key: tuple[int, int], slots: int, now_ms: float) -> None:
+        before = self._peer_slots.pop(key, (0, 0.0))[0]
         if slots:
-            self._theirs[which] = slots, now_ms
-            self._ageing.append((now_ms, which))
+            self._peer_slots[key] = slots, now_ms
+            self._expiry_queue.append((now_ms, key))
         if slots != before:
-            total = self._total[which[1]] = self._total.get(which[1], 0) + slots - before
+            total = self._peer_totals[key[1]] = self._peer_totals.get(key[1], 0) + slots - before
             if not total:
-                del self._total[which[1]]
-            self._changed.add(which[1])
-
-    def news(self, now_ms: float) -> list[tuple[int, float]]:
-        """Workers whose other fill has changed since the last call, with all that others fill there now."""
-        while self._ageing and now_ms - self._ageing[0][0] > self.believed_ms:
-            at, which = self._ageing.popleft()
-            if self._theirs.get(which, (0, 0.0))[1] == at:
-                self._set(which, 0, now_ms)
+                del self._peer_totals[key[1]]
+            self._changed.add(key[1])
+
+    def take_changes(self, now_ms: float) -> list[tuple[int, float]]:
+        """Returns the slots that peers occupy, by worker, where they changed since the last call."""
+        while self._expiry_queue and now_ms - self._expiry_queue[0][0] > self.expiry_ms:
+            received_at, key = self._expiry_queue.popleft()
+            if self._peer_slots.get(key, (0, 0.0))[1] == received_at:
+                self._set(key, 0, now_ms)
         changed, self._changed = self._changed, set()
-        return [(w, float(self._total.get(n, 0))) for n in changed for w in self._workers.get(n, ())]
+        return [(w, float(self._peer_totals.get(n, 0))) for n in changed for w in self._workers.get(n, ())]
--- a/pebbledrift/fleet/parts.py
+++ b/pebbledrift/fleet/parts.py
@@ -1,13 +1,15 @@
-"""What the parts of a large fleet tell each other: which of their workers have room. No I/O.
-
-What is filled at a worker is told to the nodes of its part alone (docs/large-fleet.md). A node that finds its
-own part full looks at the others' workers, and knew nothing of them but what it sent itself: so did 160
-nodes at once. So the nodes of a part take turns, by their numbers and the common clock, to tell all nodes
-outside how many slots are free at those of their workers that have most.
-
-A datagram is a form byte, the time of telling (eight bits, in units of 64 ms) and entries of 16 bits,
-big-endian: twelve of the worker's number, four of its free slots. Who is not named has no room. As with
-fills, what is lost, late or forged bends a choice for a while, and no rule rests on it.
+"""Free-slot reports between the parts (partitions) of a large fleet. No I/O.
+
+Occupancy of a worker is reported only to the nodes of its part (docs/large-fleet.md). A node whose own part
+is full looks for workers in the other parts. Without these reports it would know only what it sent there
+itself, and 160 nodes would choose the same workers at once. So the nodes of a part take time slices, by their
+number and the common clock, in which they report to all nodes outside the part how many slots are free at the
+workers of the part that have the most free slots.
+
+A datagram is a form byte, the time of sending (eight bits, in units of 64 ms) and entries of 16 bits,
+big-endian: twelve bits of the worker's number and four bits for its free slots. A worker without an entry has
+no free slots. As with occupancy reports, a datagram that is lost, late or forged affects the choice of
+workers only for a while, and no guarantee depends on it.
 """
 
 from __future__ import annotations
@@ -16,117 +18,134 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from pebbledrift.fleet.fills import HEAD, SLOT_MOST, UNIT_MS, short
+from pebbledrift.fleet.fills import HEADER_BYTES, MAX_ENTRY_SLOTS, TIMESTAMP_UNIT_MS, short_id
 from spoolpier.hashing import mix
 
-FORM = 0x52  # no other kind of the peers' datagrams
-NAMED_MOST = 16  # workers: so many with room are enough to choose from, and each byte has its price
-NONE = 1e6  # slots that others fill where there is no room
+FORM = 0x52  # differs from every other kind of peer datagram
+MAX_ENTRIES = 16  # enough free workers to choose from; more would only add traffic
+NO_FREE_SLOTS = 1e6  # reported as occupied by others where a worker has no slot for this node
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """A worker as the list has it."""
+class ListedWorker:
+    """A worker by its entry in the worker list."""
 
     worker: int
-    size: float  # slots
-    warm: bool  # else the budget for cold workers bounds it, and nothing else has to
+    slots: float
+    warm: bool  # False: the budget for cold workers limits it, and no other limit is needed
 
 
 @dataclass(slots=True)
-class _Heard:
-    """The last word of one part."""
+class _PartReport:
+    """The latest report of one part."""
 
-    at_ms: float
-    stamp: int
+    sent_at_ms: float
+    timestamp: int
     free: dict[int, int]
 
 
-class Parts:
-    """One node's view of the parts it does not belong to.
+class RemoteParts:
+    """One node's view of the parts that it does not belong to.
 
-    Times are of a clock that all nodes read alike. It may be stepped: what was told before is old then.
+    Times are in milliseconds of the clock that all nodes share. If it is stepped, reports from before the
+    step count as outdated.
     """
 
     def __init__(
-        self, me: int, nodes: int, parts: int, every_ms: float, believed_ms: float, offers: int
+        self, me: int, nodes: int, parts: int, interval_ms: float, expiry_ms: float, offers: int
     ) -> None:
         self.me, self.nodes, self.parts = me, nodes, parts
-        self.every_ms = every_ms  # between two words of one part
-        self.believed_ms = believed_ms
-        self.offers = offers  # nodes that a free slot is offered to: not all of them need one
+        self.interval_ms = interval_ms  # between two reports of one part
+        self.expiry_ms = expiry_ms
+        self.offers = offers  # number of nodes to which a free slot is offered, as not every node needs one
         self.part = me % parts
-        self._heard: dict[int, _Heard] = {}
+        self._reports: dict[int, _PartReport] = {}
         self._changed = set(range(parts)) - {self.part}
 
     def wait_ms(self, now_ms: float) -> float:
-        """How long until this node has the turn to tell for its part."""
+        """Returns the time in ms until this node's next time slice for reporting on its part."""
         members = len(range(self.part, self.nodes, self.parts))
-        round_ms = members * self.every_ms
-        turn_ms = self.me // self.parts * self.every_ms
-        return (turn_ms - now_ms) % round_ms or round_ms
-
-    def tell(self, now_ms: float, free: Iterable[tuple[int, float]]) -> bytes:
-        """The word of this node's part: of its workers, by number, the slots that are free."""
-        room = [(slots, worker) for worker, slots in free if slots >= 1]
-        room.sort(reverse=True)
-        entries = [short(w) << 4 | min(int(slots), SLOT_MOST) for slots, w in room[:NAMED_MOST]]
-        return bytes([FORM, int(now_ms / UNIT_MS) & 0xFF]) + b"".join(e.to_bytes(2, "big") for e in entries)
-
-    def take(self, peer: int, data: bytes, now_ms: float) -> None:
-        """A peer's word of its part; ValueError if it cannot be read. What was overtaken is passed over."""
-        if len(data) < HEAD or data[0] != FORM or (len(data) - HEAD) % 2:
-            raise ValueError("not what a part has free")
+        round_ms = members * self.interval_ms
+        slice_start_ms = self.me // self.parts * self.interval_ms
+        return (slice_start_ms - now_ms) % round_ms or round_ms
+
+    def encode_report(self, now_ms: float, free: Iterable[tuple[int, float]]) -> bytes:
+        """Returns the report of this node's part; `free` has pairs of a worker and its free slots."""
+        ranked = [(slots, worker) for worker, slots in free if slots >= 1]
+        ranked.sort(reverse=True)
+        entries = [short_id(w) << 4 | min(int(slots), MAX_ENTRY_SLOTS) for slots, w in ranked[:MAX_ENTRIES]]
+        return bytes([FORM, int(now_ms / TIMESTAMP_UNIT_MS) & 0xFF]) + b"".join(
+            e.to_bytes(2, "big") for e in entries
+        )
+
+    def receive(self, peer: int, data: bytes, now_ms: float) -> None:
+        """Applies a peer's report on its part; outdated and reordered ones are ignored.
+
+        Raises ValueError if the datagram is malformed.
+        """
+        if len(data) < HEADER_BYTES or data[0] != FORM or (len(data) - HEADER_BYTES) % 2:
+            raise ValueError("malformed free-slot report")
         part = peer % self.parts
         if part == self.part:
             return
-        age = ((int(now_ms / UNIT_MS) - data[1] + 0x80) & 0xFF) - 0x80
-        told_ms = now_ms - age * UNIT_MS
-        before = self._heard.get(part)
-        # guards against news late by seconds, and a clock that is ahead of ours
-        overtaken = before is not None and UNIT_MS < before.at_ms - told_ms <= self.believed_ms
-        if overtaken or abs(now_ms - told_ms) > self.believed_ms:
+        age = ((int(now_ms / TIMESTAMP_UNIT_MS) - data[1] + 0x80) & 0xFF) - 0x80
+        sent_at_ms = now_ms - age * TIMESTAMP_UNIT_MS
+        before = self._reports.get(part)
+        # Ignores reports that are seconds late and those of a peer whose clock is ahead of this node's.
+        reordered = (
+            before is not None and TIMESTAMP_UNIT_MS < before.sent_at_ms - sent_at_ms <= self.expiry_ms
+        )
+        if reordered or abs(now_ms - sent_at_ms) > self.expiry_ms:
             return
-        entries = [int.from_bytes(data[at : at + 2], "big") for at in range(HEAD, len(data), 2)]
-        free = {entry >> 4: entry & SLOT_MOST for entry in entries}
-        self._heard[part] = _Heard(told_ms, data[1], free)
+        entries = [int.from_bytes(data[i : i + 2], "big") for i in range(HEADER_BYTES, len(data), 2)]
+        free = {entry >> 4: entry & MAX_ENTRY_SLOTS for entry in entries}
+        self._reports[part] = _PartReport(sent_at_ms, data[1], free)
         self._changed.add(part)
 
-    def renew(self, part: int) -> None:
-        """The list has changed at a part: its workers are looked at again."""
+    def mark_changed(self, part: int) -> None:
+        """Includes a part in the next `take_changes`, as its entries in the worker list have changed."""
         if part != self.part:
             self._changed.add(part)
 
-    def news(
-        self, now_ms: float, places: Callable[[int], Iterable[Place]], mine: Callable[[int], float]
+    def take_changes(
+        self,
+        now_ms: float,
+        listed_workers: Callable[[int], Iterable[ListedWorker]],
+        own_slots: Callable[[int], float],
     ) -> Mapping[int, float]:
-        """Slots that others fill at workers of parts that were heard of since the last call.
+        """Returns the slots that others occupy, by worker, for parts that have changed since the last call.
 
-        `mine`: the slots that this node fills itself; they are in what the part tells, and must not count
-        twice. Of a part that was not heard of for long, a worker is taken to have one slot left.
+        `listed_workers` returns the workers of a part. `own_slots` returns the slots that this node occupies
+        at a worker; the reports include them, and they must not count twice. A worker of a part without a
+        recent report is assumed to have one free slot.
         """
-        for part, heard in list(self._heard.items()):
-            if abs(now_ms - heard.at_ms) > self.believed_ms:
-                del self._heard[part]
+        for part, report in list(self._reports.items()):
+            if abs(now_ms - report.sent_at_ms) > self.expiry_ms:
+                del self._reports[part]
                 self._changed.add(part)
         if not self._changed:
             return {}
         changed, self._changed = self._changed, set()
-        found: dict[int, float] = {}
-        for place, word in [(p, self._heard.get(part)) for part in sorted(changed) for p in places(part)]:
-            if not place.warm:
-                found[place.worker] = 0.0
-            elif word is None:
-                found[place.worker] = max(0.0, place.size - 1)
+        occupied: dict[int, float] = {}
+        for listed, latest in [
+            (w, self._reports.get(part)) for part in sorted(changed) for w in listed_workers(part)
+        ]:
+            if not listed.warm:
+                occupied[listed.worker] = 0.0
+            elif latest is None:
+                occupied[listed.worker] = max(0.0, listed.slots - 1)
             else:
-                free = word.free.get(short(place.worker), 0)
-                if free and self._offered(place.worker, word.stamp, free):
-                    found[place.worker] = max(0.0, place.size - free - mine(place.worker))
+                free = latest.free.get(short_id(listed.worker), 0)
+                if free and self._is_offered(listed.worker, latest.timestamp, free):
+                    occupied[listed.worker] = max(0.0, listed.slots - free - own_slots(listed.worker))
                 else:
-                    found[place.worker] = NONE
-        return found
+                    occupied[listed.worker] = NO_FREE_SLOTS
+        return occupied
 
-    def _offered(self, worker: int, stamp: int, free: int) -> bool:
-        """Whether a free slot is offered to this node: all nodes hear the same word at the same time."""
+    def _is_offered(self, worker: int, timestamp: int, free: int) -> bool:
+        """Returns whether a worker's free slots are offered to this node.
+
+        All nodes receive the same report at the same time and must not all choose the same slots.
+        """
         outside = self.nodes - math.ceil(self.nodes / self.parts)
-        return mix(worker ^ mix(self.me + 1) ^ mix(stamp)) % max(1, outside) < free * self.offers
+        return mix(worker ^ mix(self.me + 1) ^ mix(timestamp)) % max(1, outside) < free * self.offers
--- a/pebbledrift/limits/service.py
+++ b/pebbledrift/limits/service.py
@@ -35,7 +35,7 @@
 
 
 class LentTurns:
-    """Whose turns at cold workers are this node's, where they are lent (fleet.neighbours.Lessee)."""
+    """Whose turns at cold workers are this node's, where they are lent (fleet.neighbours.SliceLeases)."""
 
     def __init__(self, loans: TurnLoans, now: Callable[[], float]) -> None:
         self.loans, self.now = loans, now
--- a/pebbledrift/membership/service.py
+++ b/pebbledrift/membership/service.py
@@ -320,7 +320,7 @@
         return len(self._held()), self.holder.until(self.now())
 
     def holds(self) -> bool:
-        """Whether all places that the decision module was told of are still held (fleet.Lessee)."""
+        """Whether all places that the decision module was told of are still held (fleet.SliceLeases)."""
         return self.holder is None or self._places is None or set(self._places) <= set(self._held())
 
     def changed_places(self) -> tuple[tuple[int, ...], float] | None:
@@ -413,7 +413,7 @@
 
 
 class Leased:
-    """fleet.neighbours.Lessee over a node's membership."""
+    """fleet.neighbours.SliceLeases over a node's membership."""
 
     def __init__(self, membership: Membership) -> None:
         self.holds = membership.holds
--- a/pebbledrift/node.py
+++ b/pebbledrift/node.py
@@ -68,7 +68,7 @@
         # in an upgrade two processes have one number, and each would overwrite what the other tells
         if neighbours is None and config.peers and config.settings.may_tell and config.front_fd is None:
             neighbours = self.fleet = FleetNeighbours(config, self.clock)
-            self.pool.entry_listeners.append(self.fleet.listed)
+            self.pool.entry_listeners.append(self.fleet.on_entry_changed)
         self.engine = Engine(config.settings, config.limits, self.clock, config.seed, self.pool, neighbours)
         self.pool.engine = self.engine
         self.stopping = asyncio.Event()
@@ -134,7 +134,7 @@
             found = peers.listen(config.peer_listen, config.front_fd is not None)
             log.info("peers", extra={"address": "{}:{}".format(*found)})
             if self.fleet is not None:
-                self.fleet.meet(peers)
+                self.fleet.attach_socket(peers)
         self.store = NodeStore(config, self.clock, peers)
         self._recall(self.store)
         if config.membership is not None:
@@ -182,9 +182,9 @@
         follower = self.pool.follower
         group.changed.append(lambda: follower.turns.follow(*group.rank()))
         if self.fleet is not None:
-            self.fleet.answers = group.answers
-            self.fleet.lessee = Leased(group) if table.parts == "leased" else None
-            self.engine.uses_slice_leases = self.fleet.lessee is not None
+            self.fleet.is_reachable = group.answers
+            self.fleet.slice_leases = Leased(group) if table.parts == "leased" else None
+            self.engine.uses_slice_leases = self.fleet.slice_leases is not None
         if self.store.replica is not None:
             self.store.replica.answers = group.answers
             self.store.replica.repairs = lambda: group.conduct.repair
@@ -203,7 +203,7 @@
                 self.config.fleet_limits, group, self.engine, secret, self.pool.has_cold_workers
             )
             if self.limiting.lent is not None and self.fleet is not None:
-                self.fleet.lessee = self.limiting.lent
+                self.fleet.slice_leases = self.limiting.lent
                 self.engine.uses_slice_leases = True
         if self.config.store is not None:
             await self._join_log(self.config.store, table, secret)
--- a/tests/test_list_scale.py
+++ b/tests/test_list_scale.py
@@ -136,7 +136,7 @@
         for workers in (SMALL, LARGE):
             pool, config = pool_with(0)
             neighbours = FleetNeighbours(config, pool.clock)
-            pool.entry_listeners.append(neighbours.listed)
+            pool.entry_listeners.append(neighbours.on_entry_changed)
             pool.apply_list({"rev": 2, "all": True, "targets": [target(i) for i in range(workers)]})
             neighbours.shares()
             number = next(i for i in range(workers) if pool_module.worker_number(f"s-{i}") % 5 == 2)
