--- a/bench/limit_plays.py
+++ b/bench/limit_plays.py
@@ -16,7 +16,7 @@
 
 from pebbledrift.config import FleetLimitsConfig, LimitConfig
 from pebbledrift.limits import bounds
-from pebbledrift.limits.book import Book
+from pebbledrift.limits.book import NodeLimits
 from pebbledrift.membership.seal import OVERHEAD
 
 
@@ -54,7 +54,9 @@
         self.now = 0.0
         chance = random.Random(seed)
         self.books = {
-            name: Book(self.config, name, nodes, b"bench", 0.0, lambda: chance.getrandbits(64) or 1, seed + i)
+            name: NodeLimits(
+                self.config, name, nodes, b"bench", 0.0, lambda: chance.getrandbits(64) or 1, seed + i
+            )
             for i, name in enumerate(self.names)
         }
         self.view = dict.fromkeys(self.names, tuple(self.names))  # who answers, by each node's
@@ -109,13 +111,13 @@
         """One job has come to a node, whose clock says `now`."""
         book = self.books[name]
         self.asked += 1
-        book.came(now, None, 0, False)
-        for allowance in book.advise(now):
+        book.job_arrived(now, None, 0, False)
+        for allowance in book.changed_allowances(now):
             self.left[name] = allowance.jobs
         if self.left[name] >= 1:
             self.left[name] -= 1
             self.taken.append(self.now)
-            book.decided(now, {0: self.left[name]})
+            book.record_decision(now, {0: self.left[name]})
 
     def _send(self, sender: str, receiver: str, form: bytes, body: bytes) -> None:
         self.sent += 1
@@ -277,14 +279,16 @@
     def _clock(self, name: str) -> float:
         return self.offset[name] + self.fleet.now * self.drift[name]
 
-    def _book(self, name: str) -> Book:
+    def _book(self, name: str) -> NodeLimits:
         chance = self.random
 
         def draw() -> int:
             return chance.getrandbits(64) or 1
 
         names = len(self.fleet.names)
-        return Book(self.fleet.config, name, names, b"b", self._clock(name), draw, chance.getrandbits(30))
+        return NodeLimits(
+            self.fleet.config, name, names, b"b", self._clock(name), draw, chance.getrandbits(30)
+        )
 
     def play(self, seconds: float = 8.0) -> float:
         """Jobs over the bound of a second's window, at the worst."""
--- a/pebbledrift/limits/demand.py
+++ b/pebbledrift/limits/demand.py
@@ -1,9 +1,9 @@
 """Rates by key, as one node measures them and as groups of nodes add them up. No I/O.
 
-A table of rates goes into one datagram whatever there are: the heavy keys exactly, the rest in a count-min
-sketch (Cormode and Muthukrishnan, 2005) whose cells are found by a keyed hash, so that nobody can pick names
-that share theirs with another's. What a sketch tells of a key is never less than its rate. Rates are events a
-second.
+A table of rates fits into one datagram whatever it holds: the heavy keys exactly, the rest in a count-min
+sketch (Cormode and Muthukrishnan, 2005). A keyed hash selects the sketch's cells, so that nobody can choose
+names that collide with another's. The estimate of a sketch is never less than the key's rate. Rates are
+events a second.
 """
 
 from __future__ import annotations
@@ -14,152 +14,174 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-HEAVY_MOST = 20  # keys told exactly
-ROWS, CELLS = 2, 8
-LOWS_MOST = 8  # configured rates in one word; more take turns
-ROUND_UP = 1.001  # half-precision numbers are off by 1 in 2,048 at most: told rates are never too low
-RATE_MOST = 60_000.0
-SPANS_MS = (300.0, 1000.0, 3000.0)  # over which events fade
-SIGNS = 3.5  # deviations of chance by which the rate of late has to differ from the mean
-SILENCE = 3.0  # events that should have come in a silence for it to be no chance
-FORGOTTEN = 0.002  # events a second that are none
-_HEAD = struct.Struct("!HBBB")  # nodes, heavy keys, sketch or none, configured rates
+MAX_HEAVY_KEYS = 20  # keys with exact rates in one table
+SKETCH_ROWS, SKETCH_COLUMNS = 2, 8
+MAX_CONFIGURED_RATES = 8  # in one message; a node with more sends them in rotation
+ROUND_UP = 1.001  # half precision is off by at most 1 in 2,048: no encoded rate is too low
+MAX_RATE = 60_000.0
+TIME_CONSTANTS_MS = (300.0, 1000.0, 3000.0)  # of the exponential decay of counted events
+MIN_DEVIATIONS = 3.5  # standard deviations between a short-term rate and the mean that show a change
+SILENCE_EVENTS = 3.0  # expected events in a silence from which on it is no longer put down to chance
+MIN_RATE = 0.002  # a lower mean, in events a second, counts as 0
+_HEAD = struct.Struct("!HBBB")  # nodes, heavy keys, whether a sketch follows, configured rates
 _RATE = struct.Struct("!He")
-_LOW = struct.Struct("!Hf")
-_SKETCH = struct.Struct(f"!{ROWS * CELLS}e")
+_CONFIGURED_RATE = struct.Struct("!Hf")
+_SKETCH = struct.Struct(f"!{SKETCH_ROWS * SKETCH_COLUMNS}e")
 
 
-class BadTable(ValueError):
-    """Bytes that are no table of rates."""
+class InvalidTable(ValueError):
+    """The bytes are not an encoded table of rates."""
 
 
-class Meter:
-    """The rate of events: their mean over three seconds, begun anew where it changes by more than chance.
+class RateMeter:
+    """Measures the rate of events: the mean over three seconds, restarted at a significant change.
 
-    Whether it has changed is asked over shorter times as well, so that a large change is known in a third of
-    a second and a small one in one. What is told stays the same while the mean moves by no more than its own
-    uncertainty: others need not follow what is only noise.
+    Shorter averages are tested for a change as well, so that a large change shows within a third of a second
+    and a small one within a second. The reported rate is constant while the mean moves by no more than its
+    own uncertainty, so that the other nodes do not follow noise.
     """
 
     def __init__(self, start: float) -> None:
-        self._at = self._last = start
-        self._events = [0.0] * len(SPANS_MS)  # that have not faded, by span
-        self._told = 0.0
+        self._updated_at = self._last_event_at = start
+        self._events = [0.0] * len(TIME_CONSTANTS_MS)  # decayed counts, by time constant
+        self._reported = 0.0
 
     def count(self, now: float, events: float = 1.0) -> None:
-        """Something has happened."""
-        self._fade(now)
-        self._events = [one + events for one in self._events]
-        self._last = now
+        """Counts events."""
+        self._decay(now)
+        self._events = [count + events for count in self._events]
+        self._last_event_at = now
 
     def rate(self, now: float) -> float:
-        """Events a second: as many as there may be, by what is uncertain of the mean."""
-        self._fade(now)
-        for short in range(len(SPANS_MS) - 1):
-            seen, span = self._events[short], SPANS_MS[short]
-            expected = self._events[-1] * span / SPANS_MS[-1]
-            if abs(seen - expected) > SIGNS * math.sqrt(max(expected, seen) / 2 + 1):
-                for i in range(short + 1, len(SPANS_MS)):  # it has jumped, up or down
-                    self._events[i] = seen * SPANS_MS[i] / span
+        """Returns events a second: the mean plus its uncertainty, as an upper estimate."""
+        self._decay(now)
+        for short in range(len(TIME_CONSTANTS_MS) - 1):
+            recent, span = self._events[short], TIME_CONSTANTS_MS[short]
+            expected = self._events[-1] * span / TIME_CONSTANTS_MS[-1]
+            if abs(recent - expected) > MIN_DEVIATIONS * math.sqrt(max(expected, recent) / 2 + 1):
+                for i in range(short + 1, len(TIME_CONSTANTS_MS)):  # the rate has jumped, up or down
+                    self._events[i] = recent * TIME_CONSTANTS_MS[i] / span
                 break
-        silent = now - self._last
-        if silent > SPANS_MS[0]:  # says more than what has faded: rates under which it would be rare
-            self._events = [min(e, SILENCE * s / silent) for e, s in zip(self._events, SPANS_MS, strict=True)]
-        mean = self._events[-1] * 1000 / SPANS_MS[-1]
-        unsure = math.sqrt(self._events[-1] / 2) * 1000 / SPANS_MS[-1]
-        if mean < FORGOTTEN:
-            self._told = 0.0
-        elif abs(mean + unsure - self._told) > unsure:
-            self._told = mean + unsure
-        return self._told
-
-    def _fade(self, now: float) -> None:
-        past = max(0.0, now - self._at)
-        if past > 0:
-            self._at = now
-            faded = zip(self._events, SPANS_MS, strict=True)
-            self._events = [events * math.exp(-past / span) for events, span in faded]
+        silence = now - self._last_event_at
+        if silence > TIME_CONSTANTS_MS[0]:
+            # A long silence tells more than the decay: it caps each rate at one under which it is rare.
+            self._events = [
+                min(e, SILENCE_EVENTS * s / silence)
+                for e, s in zip(self._events, TIME_CONSTANTS_MS, strict=True)
+            ]
+        mean = self._events[-1] * 1000 / TIME_CONSTANTS_MS[-1]
+        uncertainty = math.sqrt(self._events[-1] / 2) * 1000 / TIME_CONSTANTS_MS[-1]
+        if mean < MIN_RATE:
+            self._reported = 0.0
+        elif abs(mean + uncertainty - self._reported) > uncertainty:
+            self._reported = mean + uncertainty
+        return self._reported
+
+    def _decay(self, now: float) -> None:
+        elapsed = max(0.0, now - self._updated_at)
+        if elapsed > 0:
+            self._updated_at = now
+            counts = zip(self._events, TIME_CONSTANTS_MS, strict=True)
+            self._events = [events * math.exp(-elapsed / span) for events, span in counts]
 
 
 @dataclass(slots=True)
-class Table:
-    """Rates of some nodes together, and the lowest rates that are configured there, by key."""
+class RateTable:
+    """The summed rates of some nodes, and the lowest rates configured at these nodes, by key."""
 
     nodes: int = 0
     rates: dict[int, float] = field(default_factory=dict)
-    sketch: list[float] = field(default_factory=lambda: [0.0] * (ROWS * CELLS))
-    lows: dict[int, float] = field(default_factory=dict)
+    sketch: list[float] = field(default_factory=lambda: [0.0] * (SKETCH_ROWS * SKETCH_COLUMNS))
+    lowest_configured: dict[int, float] = field(default_factory=dict)
 
-    def add(self, other: Table, times: int = 1) -> None:
-        """Add another table, or with -1 take away what was added before."""
+    def add(self, other: RateTable, times: int = 1) -> None:
+        """Adds another table, or with `times` -1 subtracts one that was added before."""
         self.nodes += times * other.nodes
         for key, rate in other.rates.items():
             self.rates[key] = self.rates.get(key, 0.0) + times * rate
         self.sketch = [a + times * b for a, b in zip(self.sketch, other.sketch, strict=True)]
-        for key, rate in other.lows.items() if times > 0 else ():
-            self.lows[key] = min(rate, self.lows.get(key, math.inf))
+        for key, rate in other.lowest_configured.items() if times > 0 else ():
+            self.lowest_configured[key] = min(rate, self.lowest_configured.get(key, math.inf))
 
 
-class Form:
-    """How tables are written: all nodes of a group have the same secret."""
+class TableCodec:
+    """Encodes and decodes tables of rates. All nodes of a group have the same secret."""
 
     def __init__(self, secret: bytes) -> None:
         self.secret = hashlib.blake2b(secret, digest_size=32, person=b"pebbledrift-lim").digest()
         self._cells: dict[int, tuple[int, ...]] = {}
 
     def cells(self, key: int) -> tuple[int, ...]:
-        """The cell of each row that counts a key."""
-        found = self._cells.get(key)
-        if found is None:
-            drawn = hashlib.blake2b(key.to_bytes(2, "big"), key=self.secret, digest_size=ROWS).digest()
-            found = self._cells[key] = tuple(row * CELLS + byte % CELLS for row, byte in enumerate(drawn))
-        return found
-
-    def rate(self, table: Table, key: int) -> float:
-        """A key's rate: never too low."""
-        rest = min(table.sketch[cell] for cell in self.cells(key))
-        return max(0.0, table.rates.get(key, 0.0)) + max(0.0, rest)
-
-    def pack(self, table: Table, turn: int = 0) -> bytes:
-        """A table in a few bytes; of more configured rates than fit, those whose turn it is."""
+        """Returns the index of the sketch cell that counts a key, for each row."""
+        cells = self._cells.get(key)
+        if cells is None:
+            digest = hashlib.blake2b(
+                key.to_bytes(2, "big"), key=self.secret, digest_size=SKETCH_ROWS
+            ).digest()
+            cells = self._cells[key] = tuple(
+                row * SKETCH_COLUMNS + byte % SKETCH_COLUMNS for row, byte in enumerate(digest)
+            )
+        return cells
+
+    def rate(self, table: RateTable, key: int) -> float:
+        """Returns a key's rate, which may be too high but never too low."""
+        estimate = min(table.sketch[cell] for cell in self.cells(key))
+        return max(0.0, table.rates.get(key, 0.0)) + max(0.0, estimate)
+
+    def pack(self, table: RateTable, rotation: int = 0) -> bytes:
+        """Encodes a table; if not all configured rates fit, `rotation` selects the ones to include."""
         ranked = sorted(table.rates.items(), key=lambda item: -item[1])
-        heavy, light = ranked[:HEAVY_MOST], ranked[HEAVY_MOST:]
+        heavy, light = ranked[:MAX_HEAVY_KEYS], ranked[MAX_HEAVY_KEYS:]
         sketch = list(table.sketch)
         for key, rate in light:
             for cell in self.cells(key):
                 sketch[cell] += rate
-        lows = sorted(table.lows.items())
-        if len(lows) > LOWS_MOST:
-            first = turn * LOWS_MOST % len(lows)
-            lows = (lows + lows)[first : first + LOWS_MOST]
-        dense = any(cell > 0 for cell in sketch)
-        data = _HEAD.pack(min(table.nodes, 0xFFFF), len(heavy), dense, len(lows))
-        data += b"".join(_RATE.pack(key, _told(rate)) for key, rate in heavy)
-        data += _SKETCH.pack(*map(_told, sketch)) if dense else b""
-        return data + b"".join(_LOW.pack(key, rate) for key, rate in lows)
-
-    def unpack(self, data: bytes) -> Table:
-        """The table in some bytes; BadTable where there is none."""
+        configured = sorted(table.lowest_configured.items())
+        if len(configured) > MAX_CONFIGURED_RATES:
+            first = rotation * MAX_CONFIGURED_RATES % len(configured)
+            configured = (configured + configured)[first : first + MAX_CONFIGURED_RATES]
+        has_sketch = any(cell > 0 for cell in sketch)
+        data = _HEAD.pack(min(table.nodes, 0xFFFF), len(heavy), has_sketch, len(configured))
+        data += b"".join(_RATE.pack(key, _encoded_rate(rate)) for key, rate in heavy)
+        data += _SKETCH.pack(*map(_encoded_rate, sketch)) if has_sketch else b""
+        return data + b"".join(_CONFIGURED_RATE.pack(key, rate) for key, rate in configured)
+
+    def unpack(self, data: bytes) -> RateTable:
+        """Decodes a table. Raises InvalidTable."""
         try:
-            nodes, heavy, dense, lows = _HEAD.unpack_from(data)
-            size = _HEAD.size + heavy * _RATE.size + dense * _SKETCH.size + lows * _LOW.size
-            if len(data) != size or dense > 1 or heavy > HEAVY_MOST or lows > LOWS_MOST:
-                raise BadTable("not of this form")
+            nodes, heavy, has_sketch, configured = _HEAD.unpack_from(data)
+            size = (
+                _HEAD.size
+                + heavy * _RATE.size
+                + has_sketch * _SKETCH.size
+                + configured * _CONFIGURED_RATE.size
+            )
+            if (
+                len(data) != size
+                or has_sketch > 1
+                or heavy > MAX_HEAVY_KEYS
+                or configured > MAX_CONFIGURED_RATES
+            ):
+                raise InvalidTable("table of rates has a wrong length or an invalid header")
             at = _HEAD.size
             rates = [_RATE.unpack_from(data, at + i * _RATE.size) for i in range(heavy)]
             at += heavy * _RATE.size
-            sketch = list(_SKETCH.unpack_from(data, at)) if dense else [0.0] * (ROWS * CELLS)
-            at += dense * _SKETCH.size
-            told = [_LOW.unpack_from(data, at + i * _LOW.size) for i in range(lows)]
+            sketch = (
+                list(_SKETCH.unpack_from(data, at)) if has_sketch else [0.0] * (SKETCH_ROWS * SKETCH_COLUMNS)
+            )
+            at += has_sketch * _SKETCH.size
+            lowest = [
+                _CONFIGURED_RATE.unpack_from(data, at + i * _CONFIGURED_RATE.size) for i in range(configured)
+            ]
         except struct.error as error:
-            raise BadTable("cut short") from error
-        if not all(math.isfinite(x) and x >= 0 for x in (*_values(rates), *sketch, *_values(told))):
-            raise BadTable("no rates")
-        return Table(nodes, dict(rates), sketch, dict(told))
+            raise InvalidTable("table of rates is truncated") from error
+        if not all(math.isfinite(x) and x >= 0 for x in (*_values(rates), *sketch, *_values(lowest))):
+            raise InvalidTable("table of rates has a negative or non-finite rate")
+        return RateTable(nodes, dict(rates), sketch, dict(lowest))
 
 
-def _told(rate: float) -> float:
-    return min(RATE_MOST, max(0.0, rate) * ROUND_UP)
+def _encoded_rate(rate: float) -> float:
+    return min(MAX_RATE, max(0.0, rate) * ROUND_UP)
 
 
 def _values(pairs: Iterable[tuple[int, float]]) -> list[float]:
--- a/pebbledrift/limits/soft.py
+++ b/pebbledrift/limits/soft.py
@@ -1,13 +1,14 @@
-"""The soft kind of limit: each node takes its share of the demand that it knows of. No I/O.
+"""The soft kind of limit: each node takes a share in proportion to the reported demand. No I/O.
 
-A node's share of a limit is m / D, m being the least that was asked of it within the last `settle_ms`, and D
-all that is asked of all nodes by the latest words; what nobody asks for is divided evenly. Where every word
-arrives within settle_ms, each D is at least the sum of all m, so all shares together are at most the whole:
-a share grows late, once all have heard of the demand behind it, and shrinks at once.
+A node's share of a limit is m / D, where m is the minimum demand at this node within the last `settle_ms` and
+D is the demand at all nodes by the latest reports; the rest of the limit is divided evenly. If every report
+arrives within settle_ms, each D is at least the sum of all m, so all shares together are at most 1: a share
+grows only after all nodes have received the demand behind it, and shrinks at once.
 
-What breaks that is a word that does not come. Then a node goes by the last one, and after `believed_ms` by
-those that it hears: a rule says what a part of the group may use (`in_a_cut`). How far over all parts
-together can be is bounds.py's to say. Times are ms of a clock that never goes back; rates are jobs a second.
+Lost reports break this guarantee. A node then uses the last report, and after `believed_ms` counts only the
+nodes that it still receives from: the rule `in_a_cut` says how much one side of a network partition may use.
+bounds.py computes how far all sides together can exceed the limit. Times are ms of a monotonic clock; rates
+are jobs a second.
 """
 
 from __future__ import annotations
@@ -16,89 +17,92 @@
 from collections import deque
 from dataclasses import dataclass
 
-CUTS = ("part", "majority", "whole")
-SAMPLES_MOST = 512
+PARTITION_RULES = ("part", "majority", "whole")
+MAX_SAMPLES = 512
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """What a node knows of the others: what they ask for, how many they are, and how old that may be."""
+class RemoteDemand:
+    """The demand at the other nodes, how many nodes it covers, and its greatest age."""
 
     rate: float
     nodes: int
     age_ms: float
 
 
-def part_of(in_a_cut: str, heard: int, whole: int, answering: int) -> float:
-    """What so many nodes that hear each other may use of a limit together.
+def partition_fraction(in_a_cut: str, reachable: int, fleet_size: int, responding: int) -> float:
+    """Returns the fraction of a limit that `reachable` nodes which reach each other may use together.
 
-    `part`: as large a part as they are; `majority`: all of it where they are more than half, else nothing;
-    `whole`: all of it, or as large a part as they are of those that answer by the group's view.
+    `part`: in proportion to their number; `majority`: all of it if they are more than half, else nothing;
+    `whole`: all of it, or in proportion to the `responding` members of the group's view.
     """
     if in_a_cut == "whole":
-        # guards the limit in a large group: whoever gathered the rates of some may be cut off from them, and
-        # until the view has dropped it each of these would take itself for the whole of its side
-        return min(1.0, heard / max(1, answering))
+        # Guards the limit in a large group: the aggregators of some nodes may be on the other side of a
+        # partition. Until the view has dropped them, each of these nodes would count as a whole side.
+        return min(1.0, reachable / max(1, responding))
     if in_a_cut == "majority":
-        return 1.0 if 2 * heard > whole else 0.0
-    return min(1.0, heard / max(1, whole))
+        return 1.0 if 2 * reachable > fleet_size else 0.0
+    return min(1.0, reachable / max(1, fleet_size))
 
 
 class SoftShare:
-    """One node's share of one limit."""
+    """One node's share of one limit. Raises ValueError for an unknown rule `in_a_cut`."""
 
     def __init__(self, in_a_cut: str, settle_ms: float, believed_ms: float, start: float) -> None:
-        if in_a_cut not in CUTS:
-            raise ValueError(f"in_a_cut: not one of {', '.join(CUTS)}: {in_a_cut!r}")
+        if in_a_cut not in PARTITION_RULES:
+            raise ValueError(f"in_a_cut: must be one of {', '.join(PARTITION_RULES)}, not {in_a_cut!r}")
         self.in_a_cut = in_a_cut
         self.settle_ms, self.believed_ms = settle_ms, believed_ms
         self.start = start
-        self.heard = False
-        # rising: the least of each tail of the window; before its start nothing was asked of the node
+        self.received_report = False
+        # Sliding-window minimum: times and rates both rise. Before its start the node had no demand.
         self._samples = deque([(start, 0.0)])
 
     def sample(self, now: float, rate: float) -> None:
-        """What is asked of this node now; taken each time that it is told to others, and between."""
+        """Records the demand at this node; called for each report to the others, and between reports."""
         since = now
         while self._samples and self._samples[-1][1] >= rate:
-            since = self._samples.pop()[0]  # since then nothing was less
+            since = self._samples.pop()[0]  # the demand has not been lower since then
         self._samples.append((since, rate))
         self._trim(now)
-        while len(self._samples) > SAMPLES_MOST:
-            # guards memory where callers sample too often: the lesser of two stands for both
+        while len(self._samples) > MAX_SAMPLES:
+            # Bounds memory if callers sample too often: the lower of the two oldest samples stands for both.
             first = self._samples.popleft()
             self._samples[0] = (first[0], first[1])
 
-    def least(self, now: float) -> float:
-        """The least that was asked of this node within settle_ms; nothing was before its start."""
+    def minimum(self, now: float) -> float:
+        """Returns the minimum demand at this node within settle_ms; it is 0 before the node's start."""
         self._trim(now)
         return self._samples[0][1]
 
     def _trim(self, now: float) -> None:
-        # what was sampled before the window stands in it until the next sample
+        # A sample from before the window is valid until the next sample.
         while len(self._samples) > 1 and now - self._samples[1][0] >= self.settle_ms:
             self._samples.popleft()
 
-    def share(self, now: float, limit: float, known: Known | None, whole: int, answering: int = 1) -> float:
-        """This node's share of a limit of so many jobs a second, between 0 and 1.
+    def share(
+        self, now: float, limit: float, remote: RemoteDemand | None, fleet_size: int, responding: int = 1
+    ) -> float:
+        """Returns this node's share, between 0 and 1, of a limit in jobs a second.
 
-        `known` is None where nobody was heard for believed_ms; `whole`: nodes that there should be;
-        `answering`: those that answer by the group's view, this one included.
+        `remote` is None if no report arrived for believed_ms; `fleet_size` is the expected number of nodes;
+        `responding` is the number of responding members of the group's view, this one included.
         """
-        if known is not None:
-            self.heard = True
-        elif not self.heard and now - self.start < self.believed_ms and whole > 1:
-            return 0.0  # it has just started, and the others may be using all of it
-        asked = self._samples[-1][1]
-        least = self.least(now)
-        nodes = 1 + (known.nodes if known is not None else 0)
-        total = asked + (known.rate if known is not None else 0.0)
-        most = part_of(self.in_a_cut, nodes, whole, answering)
+        if remote is not None:
+            self.received_report = True
+        elif not self.received_report and now - self.start < self.believed_ms and fleet_size > 1:
+            return 0.0  # this node has just started, and the others may be using the whole limit
+        demand = self._samples[-1][1]
+        minimum = self.minimum(now)
+        nodes = 1 + (remote.nodes if remote is not None else 0)
+        total = demand + (remote.rate if remote is not None else 0.0)
+        max_share = partition_fraction(self.in_a_cut, nodes, fleet_size, responding)
         if limit <= 0 or not math.isfinite(limit):
             return 0.0
-        allowed = limit * most
+        allowed = limit * max_share
         if total >= allowed:
-            return most * least / total if total > 0 else 0.0
-        # with a majority's part each node counts on all the others, heard or not, to have theirs of the rest
-        even = max(nodes, whole) if self.in_a_cut == "majority" else nodes
-        return min(most, (least + (allowed - total) / even) / limit)
+            return max_share * minimum / total if total > 0 else 0.0
+        # Under the majority rule each node leaves an even part of the rest to every node of the fleet,
+        # whether it is reachable or not.
+        divisor = max(nodes, fleet_size) if self.in_a_cut == "majority" else nodes
+        return min(max_share, (minimum + (allowed - total) / divisor) / limit)
--- a/pebbledrift/node.py
+++ b/pebbledrift/node.py
@@ -202,8 +202,8 @@
             self.limiting = FleetLimits(
                 self.config.fleet_limits, group, self.engine, secret, self.pool.has_cold_workers
             )
-            if self.limiting.lent is not None and self.fleet is not None:
-                self.fleet.lessee = self.limiting.lent
+            if self.limiting.lent_time_slices is not None and self.fleet is not None:
+                self.fleet.lessee = self.limiting.lent_time_slices
                 self.engine.uses_slice_leases = True
         if self.config.store is not None:
             await self._join_log(self.config.store, table, secret)
@@ -364,7 +364,7 @@
 
     def limits(self) -> list[str]:
         """What is held of limits of the whole fleet."""
-        return self.limiting.lines() if self.limiting is not None else []
+        return self.limiting.status_lines() if self.limiting is not None else []
 
     async def figures(self) -> NodeFigures:
         """The figures of this process, which is the node."""
@@ -379,7 +379,7 @@
             more={
                 **(self.membership.figures() if self.membership is not None else {}),
                 **(self.judging.figures() if self.judging is not None else {}),
-                **(self.limiting.figures() if self.limiting is not None else {}),
+                **(self.limiting.metrics() if self.limiting is not None else {}),
             },
         )
 
