--- a/pebbledrift/limits/__init__.py
+++ b/pebbledrift/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that hold over all nodes: units that are lent from node to node."""
+"""Fleet-wide rate limits: hard limits by units lent between nodes, soft limits by reported demand."""
--- a/pebbledrift/limits/book.py
+++ b/pebbledrift/limits/book.py
@@ -131,9 +131,9 @@
 
         Returns a description of each change. Raises ValueError, and changes nothing, if other settings
         differ. A lower rate is in force here at once, and at the other nodes once they have received it. A
-        higher one is in force when the last node that is received has it (_apply_lowest_rates): the units
-        of a hard limit never add up to more than the whole at any rate, so that all nodes together never
-        exceed the highest rate that one of them has. A soft limit starts as it does at a node's start.
+        higher one is in force when the last node in contact has it (_apply_lowest_rates). The shares of a
+        limit never add up to more than 1, whatever the rates, so that all nodes together never exceed the
+        highest rate that is configured at one of them. A soft limit starts as it does at a node's start.
         """
         if config.settled() != self.config.settled():
             raise ValueError("hard limits or times differ, which needs a restart")
