--- a/bench/limits.py
+++ b/bench/limits.py
@@ -21,8 +21,8 @@
 from typing import Any
 
 from bench.limit_plays import cuts, faulty, shares, step
-from pebbledrift.limits.borrower import Borrower, Habits
-from pebbledrift.limits.escrow import Account, Ask, Grant
+from pebbledrift.limits.borrower import Borrower, LendingPolicy
+from pebbledrift.limits.escrow import Account, Grant, LoanRequest
 
 UNITS = 60_000  # of the whole
 LOAN_MS = 2000.0
@@ -40,14 +40,14 @@
         base = UNITS // nodes
         self.nodes = {name: self._node(base, seed * 1000 + int(name)) for name in self.names}
         self.now, self.sent = 0.0, 0
-        self.way: list[tuple[float, int, str, str, Ask | tuple[Grant, int]]] = []
+        self.way: list[tuple[float, int, str, str, LoanRequest | tuple[Grant, int]]] = []
         self.count = itertools.count()
         self.worst = 0
         self.shift(skew)
 
     def _node(self, base: int, seed: int) -> Borrower:
         account = Account(base, LOAN_MS, 0.0, False, lambda: self.random.getrandbits(64) or 1)
-        return Borrower(account, base, Habits(), seed)
+        return Borrower(account, base, LendingPolicy(), seed)
 
     def shift(self, skew: float) -> None:
         """One node in ten has `skew` times the others' demand; which one, is drawn anew."""
@@ -56,7 +56,7 @@
         for name, node in self.nodes.items():
             node.demand = 0.9 * UNITS * weights[name] / sum(weights.values())
 
-    def send(self, sender: str, receiver: str, message: Ask | tuple[Grant, int]) -> None:
+    def send(self, sender: str, receiver: str, message: LoanRequest | tuple[Grant, int]) -> None:
         """A message, which may be lost."""
         self.sent += 1
         if self.random.random() >= self.loss:
@@ -71,18 +71,18 @@
             while self.way and self.way[0][0] <= self.now:
                 _, _, sender, receiver, message = heapq.heappop(self.way)
                 node = self.nodes[receiver]
-                if isinstance(message, Ask):
-                    grant = node.asked(self.now, sender, message)
+                if isinstance(message, LoanRequest):
+                    grant = node.handle_request(self.now, sender, message)
                     self.send(receiver, sender, (grant, node.may_lend(self.now)))
                 else:
-                    node.granted(self.now, sender, *message)
+                    node.handle_grant(self.now, sender, *message)
             units = {name: node.account.units(self.now) for name, node in self.nodes.items()}
             self.worst = max(self.worst, sum(units.values()))
             spent += sum(min(units[name], node.demand) for name, node in self.nodes.items())
             wanted += sum(node.demand for node in self.nodes.values())
             for name, node in self.nodes.items() if self.lend else ():
                 others = [other for other in self.names if other != name]
-                for peer, ask in node.asks(self.now, others):
+                for peer, ask in node.due_requests(self.now, others):
                     self.send(name, peer, ask)
         return spent / wanted
 
--- a/pebbledrift/limits/book.py
+++ b/pebbledrift/limits/book.py
@@ -14,9 +14,9 @@
 
 from pebbledrift.config import FleetLimitsConfig, LimitConfig
 from pebbledrift.limits import bounds
-from pebbledrift.limits.borrower import Borrower, Habits
+from pebbledrift.limits.borrower import Borrower, LendingPolicy
 from pebbledrift.limits.demand import Form, Meter, Table
-from pebbledrift.limits.escrow import Account, Ask, Bucket, Grant
+from pebbledrift.limits.escrow import Account, Bucket, Grant, LoanRequest
 from pebbledrift.limits.soft import Known, SoftShare
 from pebbledrift.limits.sums import HURRY_MS, TIMES, BadWord, Sums
 from spoolpier import interface as api
@@ -103,7 +103,7 @@
         config, borrower = self.config, None
         if limit.kind == "hard":
             account = Account(0, config.loan_ms, start, False, self.draw)
-            borrower = Borrower(account, UNITS // self.parts, Habits(), seed)
+            borrower = Borrower(account, UNITS // self.parts, LendingPolicy(), seed)
         taken = {other.number for other in self.limits}
         free = next(i for i in range(len(taken) + 1) if i not in taken)
         number = api.RETRY_LIMIT if limit.retries else free
@@ -263,7 +263,7 @@
             if limit.borrower is not None:
                 limit.borrower.account.set_base(UNITS * held // self.parts, until)
                 limit.borrower.demand = asked / limit.rate * UNITS if limit.rate else 0.0
-                for peer, ask in limit.borrower.asks(now, self._others):
+                for peer, ask in limit.borrower.due_requests(now, self._others):
                     body = _ASK.pack(limit.key, ask.number, min(ask.units, UNITS), ask.renews)
                     sends.append((ASK, body, [peer]))
         self._lower(now)
@@ -283,9 +283,11 @@
             self.dropped += 1  # a limit that this node does not have: it neither lends nor borrows
             return []
         if form == GRANT:
-            limit.borrower.granted(now, sender, Grant(number, min(units, UNITS)), more)
+            limit.borrower.handle_grant(now, sender, Grant(number, min(units, UNITS)), more)
             return []
-        grant = limit.borrower.asked(now, f"{sender}.{life:x}", Ask(number, min(units, UNITS), more))
+        grant = limit.borrower.handle_request(
+            now, f"{sender}.{life:x}", LoanRequest(number, min(units, UNITS), more)
+        )
         spare = min(limit.borrower.may_lend(now), UNITS)
         return [(GRANT, _GRANT.pack(key, grant.number, grant.units, spare), [sender])]
 
--- a/pebbledrift/limits/borrower.py
+++ b/pebbledrift/limits/borrower.py
@@ -1,9 +1,8 @@
-"""How much of a limit a node asks others for, whom, and what it keeps for itself. No I/O.
+"""Lending policy of a hard limit: how many units a node requests, from whom, and how many it keeps. No I/O.
 
-Nothing here can break a limit: what may be spent is the account's word alone (escrow.py). Parts follow demand
-without swinging: a node asks for what it lacks, lets run out what it needs no more (a loan is renewed only
-where it would be missed), and lends only what it does not need with a margin. Whoever had nothing to lend is
-left alone for a while.
+The policy cannot break a limit: the account alone decides what may be spent (escrow.py). Units follow demand
+without oscillating: a node requests what it lacks, renews a loan only if it still needs the units, and lends
+only what exceeds its own need by a margin. A node that had nothing to lend is not asked again for a while.
 """
 
 from __future__ import annotations
@@ -12,121 +11,128 @@
 import random
 from dataclasses import dataclass
 
-from pebbledrift.limits.escrow import Account, Ask, Grant
+from pebbledrift.limits.escrow import Account, Grant, LoanRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
-    """Shares are of the node's demand, times in ms."""
+class LendingPolicy:
+    """Parameters of borrowing and lending. Fractions are of the node's demand unless noted."""
 
-    slack: float = 0.05  # of its need, that a node goes without before it asks
-    margin: float = 0.03  # that it keeps beyond what it needs
-    least: float = 0.05  # of its base, which it never lends
-    at_once: int = 8  # nodes that are asked together
-    answer_ms: float = 80.0  # in which answers come, or were lost
-    pauses: int = 4  # doublings of the time between two rounds that bring nothing
-    dry_ms: float = 400.0  # for which one that had nothing is left alone
-    renew: float = 0.6  # of a loan's time, from which on it is asked to go on
+    slack: float = 0.05  # shortage that the node tolerates before it requests units
+    margin: float = 0.03  # surplus over the demand that the node does not lend
+    min_kept: float = 0.05  # fraction of the base that the node never lends
+    max_peers: int = 8  # peers that receive a request in one round
+    answer_ms: float = 80.0  # a request without an answer by then is sent again
+    max_doublings: int = 4  # of the interval between rounds that bring no units
+    dry_ms: float = 400.0  # how long a peer that had nothing to lend is not asked again
+    renew: float = 0.6  # fraction of a loan's duration after which it is renewed
 
 
-SPARE_MS = 2000.0  # for which a lender's word on what it has left is of use
+SPARE_VALID_MS = 2000.0  # how long a lender's report of its spare units is used
 
 
 class Borrower:
-    """One node's dealings with one account. Peers are named as the caller likes.
+    """Borrows and lends units for one account. Peers are identified by any string that the caller chooses.
 
-    Of each lender there is one loan, which grows, shrinks and goes on by requests for all that is wanted.
+    There is at most one loan from each lender. A request to change or renew it states the total units wanted.
     """
 
-    def __init__(self, account: Account, base: int, habits: Habits, seed: int) -> None:
-        self.account, self.base, self.habits = account, base, habits
+    def __init__(self, account: Account, base: int, policy: LendingPolicy, seed: int) -> None:
+        self.account, self.base, self.policy = account, base, policy
         self.random = random.Random(seed)
-        self.demand = 0.0  # in units, as the caller sees it now
+        self.demand = 0.0  # in units; set by the caller
         self.loans: dict[str, int] = {}  # by lender: the number of its loan
-        self.open: dict[str, tuple[Ask, float]] = {}  # by lender: what it was asked, and when last
-        self.dry: dict[str, float] = {}
-        self.spare: dict[str, tuple[int, float]] = {}  # by lender: what it had left, and when it said so
-        self.asked_at = -1e18
-        self.vain = 0  # rounds of requests in a row that have brought nothing
-        self._wanted = 0.0
+        # by lender: the open request, and when it was last sent
+        self.open_requests: dict[str, tuple[LoanRequest, float]] = {}
+        self.dry_until: dict[str, float] = {}  # by lender that had nothing to lend
+        self.spare: dict[str, tuple[int, float]] = {}  # by lender: reported spare units, and when received
+        self.requested_at = -1e18
+        self.fruitless_rounds = 0  # rounds of requests since one last brought units
+        self._demand_at_round = 0.0
 
     def may_lend(self, now: float) -> int:
-        """Units that are not needed here."""
-        keep = max(self.habits.least * self.base, (1 + self.habits.margin) * self.demand)
+        """Return how many units this node does not need and may lend."""
+        keep = max(self.policy.min_kept * self.base, (1 + self.policy.margin) * self.demand)
         return int(max(0.0, min(self.account.spare(now), self.account.units(now) - keep)))
 
-    def asked(self, now: float, sender: str, ask: Ask) -> Grant:
-        """Another node asks. What is needed here meanwhile is not lent to it again."""
+    def handle_request(self, now: float, sender: str, request: LoanRequest) -> Grant:
+        """Answer another node's request. Lent units that this node needs now are not lent again."""
         lacking = math.ceil(max(0.0, self.demand - self.account.units(now)))
-        return self.account.asked(now, sender, ask, self.may_lend(now), lacking)
+        return self.account.handle_request(now, sender, request, self.may_lend(now), lacking)
 
-    def granted(self, now: float, sender: str, grant: Grant, spare: int = 0) -> None:
-        """Another node answers, and says what it has left to lend."""
+    def handle_grant(self, now: float, sender: str, grant: Grant, spare: int = 0) -> None:
+        """Process another node's answer, which also reports the units that it has left to lend."""
         self.spare[sender] = spare, now
-        known = self.open.get(sender)
-        had = self._had(sender)
-        if known is not None and known[0].number == grant.number:
-            del self.open[sender]
-        if self.account.granted(now, grant):
+        open_request = self.open_requests.get(sender)
+        previous_units = self._borrowed_units(sender)
+        if open_request is not None and open_request[0].number == grant.number:
+            del self.open_requests[sender]
+        if self.account.handle_grant(now, grant):
             self.loans[sender] = grant.number
-            self.vain = 0 if grant.units > had else self.vain
+            self.fruitless_rounds = 0 if grant.units > previous_units else self.fruitless_rounds
         elif not spare:
-            self.dry[sender] = now + self.habits.dry_ms
+            self.dry_until[sender] = now + self.policy.dry_ms
 
-    def asks(self, now: float, others: list[str]) -> list[tuple[str, Ask]]:
-        """What has to be sent now."""
-        habits, account = self.habits, self.account
-        units, found = account.units(now), list[tuple[str, Ask]]()
+    def due_requests(self, now: float, others: list[str]) -> list[tuple[str, LoanRequest]]:
+        """Return the requests to send now, each with its recipient: repeats, renewals and new requests."""
+        policy, account = self.policy, self.account
+        units, requests = account.units(now), list[tuple[str, LoanRequest]]()
         self.loans = {peer: number for peer, number in self.loans.items() if number in account.borrowed}
-        self.open = {peer: sent for peer, sent in self.open.items() if sent[0].number in account.pending}
-        for peer, (ask, sent) in self.open.items():
-            if now - sent >= habits.answer_ms:
-                # the same request once more: its loan, if it was granted, is the same
-                self.open[peer] = ask, now
-                found.append((peer, ask))
+        self.open_requests = {
+            peer: sent for peer, sent in self.open_requests.items() if sent[0].number in account.pending
+        }
+        for peer, (request, sent) in self.open_requests.items():
+            if now - sent >= policy.answer_ms:
+                # the same number, so that a loan that was already granted is not granted again
+                self.open_requests[peer] = request, now
+                requests.append((peer, request))
         surplus = units - self.demand
         for peer, number in self.loans.items():
             loan = account.borrowed[number]
-            if peer in self.open or loan.until - now > account.loan_ms * (1 - habits.renew):
+            if peer in self.open_requests or loan.until - now > account.loan_ms * (1 - policy.renew):
                 continue
             needed, surplus = loan.units - max(0, int(surplus)), max(0.0, surplus - loan.units)
-            if needed > 0:  # so much of it as would be missed; the rest runs out
-                found.append(self._ask(now, peer, needed))
+            if needed > 0:  # renew only the units that are still needed; the others expire
+                requests.append(self._request(now, peer, needed))
         lacking = self.demand - units
-        if self.demand > 1.1 * self._wanted:
-            self.vain = 0
-        pause = habits.answer_ms * 2 ** min(self.vain, habits.pauses)
-        if lacking >= max(1, habits.slack * self.demand) and now - self.asked_at >= pause:
-            self.asked_at, self._wanted = now, self.demand
-            self.vain += 1
-            found += self._more(now, math.ceil(lacking), others)
-        return found
-
-    def _more(self, now: float, wanted: int, others: list[str]) -> list[tuple[str, Ask]]:
-        """Ask whoever is known to have units to spare, and for the rest some of which nothing is known."""
-        fresh = {p: units for p, (units, at) in self.spare.items() if now - at < SPARE_MS}
-        able = [p for p in others if p not in self.open and now >= self.dry.get(p, -1e18)]
-        rich = [peer for peer in able if fresh.get(peer)]
-        rich.sort(key=lambda peer: (peer in self.loans, fresh[peer]), reverse=True)
-        found: list[tuple[str, Ask]] = []
-        for peer in rich[: self.habits.at_once]:
+        if self.demand > 1.1 * self._demand_at_round:
+            self.fruitless_rounds = 0
+        pause = policy.answer_ms * 2 ** min(self.fruitless_rounds, policy.max_doublings)
+        if lacking >= max(1, policy.slack * self.demand) and now - self.requested_at >= pause:
+            self.requested_at, self._demand_at_round = now, self.demand
+            self.fruitless_rounds += 1
+            requests += self._request_more(now, math.ceil(lacking), others)
+        return requests
+
+    def _request_more(self, now: float, wanted: int, others: list[str]) -> list[tuple[str, LoanRequest]]:
+        """Request units from peers with known spare units, and the rest from random other peers."""
+        recent_spare = {p: units for p, (units, at) in self.spare.items() if now - at < SPARE_VALID_MS}
+        candidates = [
+            p for p in others if p not in self.open_requests and now >= self.dry_until.get(p, -1e18)
+        ]
+        known_lenders = [peer for peer in candidates if recent_spare.get(peer)]
+        known_lenders.sort(key=lambda peer: (peer in self.loans, recent_spare[peer]), reverse=True)
+        requests: list[tuple[str, LoanRequest]] = []
+        for peer in known_lenders[: self.policy.max_peers]:
             if wanted > 0:
-                # it may have lent since: half of what a node said it has left is counted on
-                found.append(self._ask(now, peer, self._had(peer) + min(wanted, fresh[peer])))
-                wanted -= fresh[peer] // 2
-        strangers = [peer for peer in able if not fresh.get(peer)]
-        # few where little is wanted: each loan has to be renewed
-        few = 2 ** min(self.vain, 3) * max(1, round(wanted / max(1, self.base)))
-        most = min(self.habits.at_once - len(found), few, len(strangers))
-        for peer in self.random.sample(strangers, most) if wanted > 0 and most > 0 else ():
-            found.append(self._ask(now, peer, self._had(peer) + -(-wanted // most)))
-        return found
-
-    def _had(self, peer: str) -> int:
+                # the peer may have lent units since its report, so only half of them are counted on
+                requests.append(
+                    self._request(now, peer, self._borrowed_units(peer) + min(wanted, recent_spare[peer]))
+                )
+                wanted -= recent_spare[peer] // 2
+        unknown_peers = [peer for peer in candidates if not recent_spare.get(peer)]
+        # a small shortage is spread over few peers, because each loan has to be renewed
+        spread = 2 ** min(self.fruitless_rounds, 3) * max(1, round(wanted / max(1, self.base)))
+        count = min(self.policy.max_peers - len(requests), spread, len(unknown_peers))
+        for peer in self.random.sample(unknown_peers, count) if wanted > 0 and count > 0 else ():
+            requests.append(self._request(now, peer, self._borrowed_units(peer) + -(-wanted // count)))
+        return requests
+
+    def _borrowed_units(self, peer: str) -> int:
         loan = self.account.borrowed.get(self.loans.get(peer, 0))
         return loan.units if loan is not None else 0
 
-    def _ask(self, now: float, peer: str, units: int) -> tuple[str, Ask]:
-        ask = self.account.ask(now, units, self.loans.get(peer, 0))
-        self.open[peer] = ask, now
-        return peer, ask
+    def _request(self, now: float, peer: str, units: int) -> tuple[str, LoanRequest]:
+        request = self.account.create_request(now, units, self.loans.get(peer, 0))
+        self.open_requests[peer] = request, now
+        return peer, request
--- a/pebbledrift/limits/service.py
+++ b/pebbledrift/limits/service.py
@@ -14,7 +14,7 @@
 from pebbledrift.core.model import Attempt, Operation
 from pebbledrift.limits import turns
 from pebbledrift.limits.book import ASK, GRANT, SUM, Book, Send
-from pebbledrift.limits.turns import TurnLoans
+from pebbledrift.limits.turns import TimeSliceLoans
 from pebbledrift.membership.seal import OVERHEAD
 from pebbledrift.membership.service import Membership
 from spoolpier import interface as api
@@ -37,17 +37,17 @@
 class LentTurns:
     """Whose turns at cold workers are this node's, where they are lent (fleet.neighbours.Lessee)."""
 
-    def __init__(self, loans: TurnLoans, now: Callable[[], float]) -> None:
+    def __init__(self, loans: TimeSliceLoans, now: Callable[[], float]) -> None:
         self.loans, self.now = loans, now
         self._told: tuple[int, ...] | None = None
 
     def holds(self) -> bool:
         """Whether all that the module was told of may still be used."""
-        return self._told is None or set(self._told) <= set(self.loans.places(self.now()))
+        return self._told is None or set(self._told) <= set(self.loans.usable_indexes(self.now()))
 
     def changed(self) -> tuple[tuple[int, ...], float] | None:
         """The places that may be used now, where these are others than told last."""
-        places = self.loans.places(self.now())
+        places = self.loans.usable_indexes(self.now())
         if places == self._told:
             return None
         if self._told is not None:
@@ -95,12 +95,12 @@
         engine.limits_of = lambda operation: self.book.counts(operation.tenant, operation.job_class)
         engine.observers.append(self._seen)
         engine.outcome_listeners.append(self._outcome)
-        self.loans: TurnLoans | None = None
+        self.loans: TimeSliceLoans | None = None
         self.lent: LentTurns | None = None
         if config.lend_turns:
             turn_ms, seed = settings.fall_ms, life & 0xFFFFFFFF
             draw = self.book.draw
-            self.loans = TurnLoans(settings.me, turn_ms, group.now(), draw, seed)
+            self.loans = TimeSliceLoans(settings.me, turn_ms, group.now(), draw, seed)
             self.lent = LentTurns(self.loans, group.now)
             group.endpoint.others[TURN_ASK] = self._turn_asked
             group.endpoint.others[TURN_GRANT] = self._turn_granted
@@ -135,8 +135,8 @@
         if self.loans is not None and not group.view.outdone:
             self.loans.entitled = self._entitled(now)
             others = [name for name in self._alive if name != group.group.me.name]
-            for peer, ask in self.loans.asks(now, others):
-                self._send([(TURN_ASK, turns.pack_ask(ask), [peer])])
+            for peer, ask in self.loans.due_requests(now, others):
+                self._send([(TURN_ASK, turns.pack_request(ask), [peer])])
 
     # -- turns at cold workers
 
@@ -153,16 +153,16 @@
         return peers.index(address) if address in peers else None
 
     def _turn_asked(self, now: float, sender: str, body: bytes) -> None:
-        ask = turns.unpack_ask(body)
+        ask = turns.unpack_request(body)
         peer = self.group.endpoint.sealer.peers.get(sender)
         if self.loans is not None and peer is not None:
-            grant = self.loans.asked(now, f"{sender}.{peer.life:x}", ask)
+            grant = self.loans.handle_request(now, f"{sender}.{peer.life:x}", ask)
             self._send([(TURN_GRANT, turns.pack_grant(grant), [sender])])
 
     def _turn_granted(self, now: float, sender: str, body: bytes) -> None:
         grant, place = turns.unpack_grant(body), self._number(sender)
         if self.loans is not None and place is not None:
-            self.loans.granted(now, sender, place, grant)
+            self.loans.handle_grant(now, sender, place, grant)
 
     def _reader(self, form: bytes) -> Callable[[float, str, bytes], None]:
         def read(now: float, sender: str, body: bytes) -> None:
@@ -201,7 +201,7 @@
         found = self.book.lines(self.group.now())
         if self.loans is not None:
             now = self.group.now()
-            places = ",".join(map(str, self.loans.places(now))) or "none"
+            places = ",".join(map(str, self.loans.usable_indexes(now))) or "none"
             lent = "yes" if self.loans.own.lent else "no"
             found.append(f"turns places={places} entitled={self.loans.entitled:.2f} lent={lent}")
         return found
--- a/pebbledrift/limits/turns.py
+++ b/pebbledrift/limits/turns.py
@@ -1,21 +1,22 @@
-"""Turns at cold workers, lent from nodes that see little traffic to those that see much. No I/O.
+"""Time slices at cold workers, lent by nodes with little traffic to nodes with much. No I/O.
 
-What a cold worker stands is cut into as many places as nodes are configured, and each node has its own
-(spoolpier, WorkerTable.cold_budget). Where traffic is uneven the places of idle nodes are of no use. So a
-node that has less than half of a place's share of the fleet's traffic lends its place to one that has more
-than its places.
+What a cold worker can take is divided among as many dispatcher indexes as nodes are configured, and each node
+owns one index (spoolpier, WorkerTable.cold_budget). With uneven traffic the time slices of idle nodes are
+wasted. So a node with less than half of one index's share of the fleet's traffic lends its index to a node
+with more traffic than the share of the indexes that it holds.
 
-At most one node uses a place at any time, whatever is lost, late, doubled or cut, and whoever starts again:
+At most one node uses an index at any time, whatever messages are lost, delayed, duplicated or cut off, and
+whichever nodes restart:
 
-- the owner counts its place as gone from the moment it grants it, for `loan_ms` (1 + 2 x DRIFT) of its own
-  clock (escrow.Account), and then for `since_ms` more, a turn: what the borrower has spent last it spent in
-  an earlier turn than the owner then does, and a place is spent once in each turn, as if it had one user;
+- the owner stops using its index when it grants the loan, for `loan_ms` (1 + 2 x DRIFT) of its own clock
+  (escrow.Account), and then for `guard_ms`, one time slice, longer: the borrower has then last spent in an
+  earlier time slice than the owner, so each time slice's budget is spent once, as if by one node;
 - the borrower counts the loan from when it *sent* the request, for `loan_ms` (1 - 2 x DRIFT), and uses the
-  place from `since_ms` after the grant came, as the owner may have spent from it until it granted it;
-- a node that starts does not know what its life before has lent, and does not use its own place for one loan
-  and since_ms.
+  index from `guard_ms` after it received the grant, because the owner may have spent until it granted it;
+- a node that starts does not know whether its earlier incarnation lent its index, and does not use the index
+  for the duration of one loan plus `guard_ms`.
 
-Times are ms of a clock that never goes back.
+Times are in ms of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,148 +27,164 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pebbledrift.limits.escrow import Account, Ask, Grant
+from pebbledrift.limits.escrow import Account, Grant, LoanRequest
 from pebbledrift.membership.lease import DRIFT
 
-LEND_BELOW, KEEP_LENT_BELOW = 0.5, 0.7  # of a place, by this node's part of the traffic
-WANT_ABOVE = 0.5  # of a place beyond those that it has
-ANSWER_MS = 150.0
-DRY_MS = 1000.0  # for which one that lends nothing is left alone
-AT_ONCE = 2
-RENEW = 0.5  # of a loan's time, from which on it is asked to go on
-PLACES_MOST = 32  # that one node borrows
-LOANS, SINCE = 2, 1  # turns that a loan lasts, and after which a turn in which another has spent is over
-_ASK = struct.Struct("!QQ")  # number, the loan that is to go on
-_GRANT = struct.Struct("!QB")
+# Entitlements, in indexes, below which a node lends its index, and below which it renews a loan.
+LEND_BELOW, RENEW_LENT_BELOW = 0.5, 0.7
+BORROW_ABOVE = 0.5  # entitlement beyond the indexes held, from which another one is borrowed
+ANSWER_MS = 150.0  # a request without an answer by then is sent again or given up
+DRY_MS = 1000.0  # how long a peer that lends nothing is not asked again
+MAX_REQUESTS = 2  # new requests at one time
+RENEW = 0.5  # fraction of a loan's duration after which it is renewed
+MAX_BORROWED = 32  # indexes that one node borrows
+LOAN_SLICES, GUARD_SLICES = 2, 1  # durations of a loan and of the guard time, in time slices
+_REQUEST = struct.Struct("!QQ")  # request number, number of the loan to renew
+_GRANT = struct.Struct("!QB")  # request number, units
 
 
-class BadTurn(ValueError):
-    """Bytes that are no request for a place and no answer."""
+class BadSliceMessage(ValueError):
+    """The bytes are not a valid request for an index, or not a valid grant."""
 
 
 @dataclass(slots=True)
-class Borrowed:
-    """Another node's place, or one that it was asked for."""
+class BorrowedIndex:
+    """Another node's dispatcher index that is borrowed or requested."""
 
     account: Account
-    place: int = -1
-    since: float = math.inf  # used from then on
+    index: int = -1  # until granted
+    usable_from: float = math.inf
 
 
-class TurnLoans:
-    """One node's dealings with places. `place` is its own number; peers are named as the caller likes.
+class TimeSliceLoans:
+    """Lends and borrows dispatcher indexes for one node.
 
-    `draw` gives unpredictable numbers of 64 bits, never 0.
+    `index` is the node's own one. Peers are identified by any string that the caller chooses. `draw_number`
+    returns unpredictable 64-bit numbers other than 0.
     """
 
     def __init__(
-        self, place: int, turn_ms: float, start: float, draw: Callable[[], int], seed: int, quiet: bool = True
+        self,
+        index: int,
+        slice_ms: float,
+        start: float,
+        draw_number: Callable[[], int],
+        seed: int,
+        may_have_lent: bool = True,
     ) -> None:
-        self.place, self.draw = place, draw
-        self.loan_ms, self.since_ms = LOANS * turn_ms, SINCE * turn_ms
-        self.own = Account(1, self.loan_ms, start, False, draw)
-        # a life before this one may have lent it
-        self.free_at = start + self.loan_ms * (1 + 2 * DRIFT) + self.since_ms if quiet else start
-        self.entitled = 1.0  # places, by this node's part of the traffic
+        self.index, self.draw_number = index, draw_number
+        self.loan_ms, self.guard_ms = LOAN_SLICES * slice_ms, GUARD_SLICES * slice_ms
+        self.own = Account(1, self.loan_ms, start, False, draw_number)
+        # an earlier incarnation may have lent the index
+        self.free_at = start + self.loan_ms * (1 + 2 * DRIFT) + self.guard_ms if may_have_lent else start
+        self.entitled = 1.0  # indexes that this node's share of the traffic corresponds to
         self.random = random.Random(seed)
-        self.borrowed: dict[str, Borrowed] = {}  # by owner
-        self.open: dict[str, tuple[Ask, float]] = {}
-        self.dry: dict[str, float] = {}
-
-    def places(self, now: float) -> tuple[int, ...]:
-        """The places that may be used now."""
-        found = [self.place] if self._mine(now) else []
-        found += [b.place for b in self.borrowed.values() if now >= b.since and b.account.units(now)]
-        return tuple(sorted(found))
-
-    def _mine(self, now: float) -> bool:
+        self.borrowed: dict[str, BorrowedIndex] = {}  # by owner
+        # by owner: the open request, and when it was last sent
+        self.open_requests: dict[str, tuple[LoanRequest, float]] = {}
+        self.dry_until: dict[str, float] = {}  # by owner that lent nothing
+
+    def usable_indexes(self, now: float) -> tuple[int, ...]:
+        """Return the dispatcher indexes whose time slices this node may use now."""
+        indexes = [self.index] if self._may_use_own(now) else []
+        indexes += [b.index for b in self.borrowed.values() if now >= b.usable_from and b.account.units(now)]
+        return tuple(sorted(indexes))
+
+    def _may_use_own(self, now: float) -> bool:
+        """Return whether the own index is usable; extends `free_at` past the loans that are out."""
         until = max((loan.until for loan in self.own.lent.values()), default=-math.inf)
         if until > -math.inf:
-            self.free_at = max(self.free_at, until + self.since_ms)
+            self.free_at = max(self.free_at, until + self.guard_ms)
         return now >= self.free_at
 
-    def asked(self, now: float, sender: str, ask: Ask) -> Grant:
-        """Another node asks for this one's place."""
-        before = self.own.lent.get((sender, ask.renews))
-        lends = self.entitled < (LEND_BELOW if before is None else KEEP_LENT_BELOW)
-        free = before is not None or self._mine(now)
-        grant = self.own.asked(now, sender, ask, int(lends and free), int(not lends))
-        self._mine(now)  # which notes until when it is gone
+    def handle_request(self, now: float, sender: str, request: LoanRequest) -> Grant:
+        """Answer another node's request for this node's index."""
+        previous = self.own.lent.get((sender, request.renews))
+        lends = self.entitled < (LEND_BELOW if previous is None else RENEW_LENT_BELOW)
+        free = previous is not None or self._may_use_own(now)
+        grant = self.own.handle_request(now, sender, request, int(lends and free), int(not lends))
+        self._may_use_own(now)  # records in `free_at` when the loan ends
         return grant
 
-    def granted(self, now: float, sender: str, place: int, grant: Grant) -> None:
-        """Another node answers. What was not asked for changes nothing."""
-        known = self.open.get(sender)
-        if known is None or known[0].number != grant.number:
+    def handle_grant(self, now: float, sender: str, index: int, grant: Grant) -> None:
+        """Process the answer of the owner of `index`. An answer without an open request is ignored."""
+        open_request = self.open_requests.get(sender)
+        if open_request is None or open_request[0].number != grant.number:
             return
-        del self.open[sender]
+        del self.open_requests[sender]
         borrowed = self.borrowed[sender]
-        had = borrowed.account.units(now)
-        if borrowed.account.granted(now, grant):
-            borrowed.place = place
-            borrowed.since = borrowed.since if had else now + self.since_ms
-        elif not had:
-            self.dry[sender] = now + DRY_MS
-
-    def asks(self, now: float, others: list[str]) -> list[tuple[str, Ask]]:
-        """What has to be sent now: loans that are to go on, and new ones where places are wanted."""
-        found: list[tuple[str, Ask]] = []
-        for peer in [p for p, b in self.borrowed.items() if p not in self.open and not b.account.units(now)]:
+        previous_units = borrowed.account.units(now)
+        if borrowed.account.handle_grant(now, grant):
+            borrowed.index = index
+            borrowed.usable_from = borrowed.usable_from if previous_units else now + self.guard_ms
+        elif not previous_units:
+            self.dry_until[sender] = now + DRY_MS
+
+    def due_requests(self, now: float, others: list[str]) -> list[tuple[str, LoanRequest]]:
+        """Return the requests to send now, each with its recipient: renewals, and new ones if needed."""
+        requests: list[tuple[str, LoanRequest]] = []
+        for peer in [
+            p for p, b in self.borrowed.items() if p not in self.open_requests and not b.account.units(now)
+        ]:
             del self.borrowed[peer]
-        held = int(self._mine(now)) + sum(b.account.units(now) for b in self.borrowed.values())
-        for peer, (ask, sent) in list(self.open.items()):
-            if ask.number not in self.borrowed[peer].account.pending:
-                del self.open[peer]
-            elif now - sent >= ANSWER_MS and ask.renews:
-                self.open[peer] = ask, now  # the same request once more
-                found.append((peer, ask))
+        held = int(self._may_use_own(now)) + sum(b.account.units(now) for b in self.borrowed.values())
+        for peer, (request, sent) in list(self.open_requests.items()):
+            if request.number not in self.borrowed[peer].account.pending:
+                del self.open_requests[peer]
+            elif now - sent >= ANSWER_MS and request.renews:
+                self.open_requests[peer] = request, now  # repeats the same request
+                requests.append((peer, request))
             elif now - sent >= ANSWER_MS:
-                del self.open[peer]
-                self.dry[peer] = now + DRY_MS
-        spare = held - self.entitled
+                del self.open_requests[peer]
+                self.dry_until[peer] = now + DRY_MS
+        surplus = held - self.entitled
         for peer, borrowed in self.borrowed.items():
             for number, loan in list(borrowed.account.borrowed.items()):
-                if peer in self.open or loan.until - now > self.loan_ms * (1 - RENEW):
+                if peer in self.open_requests or loan.until - now > self.loan_ms * (1 - RENEW):
                     continue
-                if spare >= 1.0:
-                    spare -= 1.0  # it would not be missed
+                if surplus >= 1.0:
+                    surplus -= 1.0  # no longer needed, so it is not renewed
                 else:
-                    found.append(self._ask(now, peer, number))
-        wanted = min(math.floor(self.entitled - held + 1 - WANT_ABOVE), PLACES_MOST - len(self.borrowed))
-        waiting = sum(not ask.renews for ask, _ in self.open.values())
-        if wanted > waiting:
-            able = [p for p in others if p not in self.borrowed and now >= self.dry.get(p, -math.inf)]
-            for peer in self.random.sample(able, min(AT_ONCE, wanted - waiting, len(able))):
-                self.borrowed[peer] = Borrowed(Account(0, self.loan_ms, now, False, self.draw))
-                found.append(self._ask(now, peer, 0))
-        return found
-
-    def _ask(self, now: float, peer: str, renews: int) -> tuple[str, Ask]:
-        ask = self.borrowed[peer].account.ask(now, 1, renews)
-        self.open[peer] = ask, now
-        return peer, ask
-
-
-def pack_ask(ask: Ask) -> bytes:
-    """A request's body."""
-    return _ASK.pack(ask.number, ask.renews)
+                    requests.append(self._request(now, peer, number))
+        wanted = min(math.floor(self.entitled - held + 1 - BORROW_ABOVE), MAX_BORROWED - len(self.borrowed))
+        unanswered = sum(not request.renews for request, _ in self.open_requests.values())
+        if wanted > unanswered:
+            candidates = [
+                p for p in others if p not in self.borrowed and now >= self.dry_until.get(p, -math.inf)
+            ]
+            for peer in self.random.sample(
+                candidates, min(MAX_REQUESTS, wanted - unanswered, len(candidates))
+            ):
+                self.borrowed[peer] = BorrowedIndex(Account(0, self.loan_ms, now, False, self.draw_number))
+                requests.append(self._request(now, peer, 0))
+        return requests
+
+    def _request(self, now: float, peer: str, renews: int) -> tuple[str, LoanRequest]:
+        request = self.borrowed[peer].account.create_request(now, 1, renews)
+        self.open_requests[peer] = request, now
+        return peer, request
+
+
+def pack_request(request: LoanRequest) -> bytes:
+    """Encode the body of a request."""
+    return _REQUEST.pack(request.number, request.renews)
 
 
 def pack_grant(grant: Grant) -> bytes:
-    """An answer's body."""
+    """Encode the body of a grant."""
     return _GRANT.pack(grant.number, grant.units)
 
 
-def unpack_ask(body: bytes) -> Ask:
-    """The request in a body; BadTurn if there is none."""
-    if len(body) != _ASK.size:
-        raise BadTurn("not of this form")
-    number, renews = _ASK.unpack(body)
-    return Ask(number, 1, renews)
+def unpack_request(body: bytes) -> LoanRequest:
+    """Decode the body of a request. Raises BadSliceMessage if it is invalid."""
+    if len(body) != _REQUEST.size:
+        raise BadSliceMessage("time slice request has the wrong length")
+    number, renews = _REQUEST.unpack(body)
+    return LoanRequest(number, 1, renews)
 
 
 def unpack_grant(body: bytes) -> Grant:
-    """The answer in a body; BadTurn if there is none."""
+    """Decode the body of a grant. Raises BadSliceMessage if it is invalid."""
     if len(body) != _GRANT.size or body[-1] > 1:
-        raise BadTurn("not of this form")
+        raise BadSliceMessage("time slice grant has the wrong length, or more than one unit")
     return Grant(*_GRANT.unpack(body))
