--- a/pebbledrift/limits/book.py
+++ b/pebbledrift/limits/book.py
@@ -14,9 +14,9 @@
 
 from pebbledrift.config import FleetLimitsConfig, LimitConfig
 from pebbledrift.limits import bounds
-from pebbledrift.limits.borrower import Borrower, Habits
+from pebbledrift.limits.borrower import Borrower, LendingPolicy
 from pebbledrift.limits.demand import RateMeter, RateTable, TableCodec
-from pebbledrift.limits.escrow import Account, Ask, Bucket, Grant
+from pebbledrift.limits.escrow import Account, Bucket, Grant, LoanRequest
 from pebbledrift.limits.soft import RemoteDemand, SoftShare
 from pebbledrift.limits.sums import CHANGE_INTERVAL_MS, CHANGE_REPEATS, DemandExchange, InvalidMessage
 from spoolpier import interface as api
@@ -105,7 +105,7 @@
         config, borrower = self.config, None
         if limit.kind == "hard":
             account = Account(0, config.loan_ms, start, False, self.draw)
-            borrower = Borrower(account, UNITS_PER_LIMIT // self.lease_parts, Habits(), seed)
+            borrower = Borrower(account, UNITS_PER_LIMIT // self.lease_parts, LendingPolicy(), seed)
         used = {other.number for other in self.limits}
         free = next(i for i in range(len(used) + 1) if i not in used)
         number = api.RETRY_LIMIT if limit.retries else free
@@ -278,7 +278,7 @@
             if limit.borrower is not None:
                 limit.borrower.account.set_base(UNITS_PER_LIMIT * leased_parts // self.lease_parts, until)
                 limit.borrower.demand = demand / limit.rate * UNITS_PER_LIMIT if limit.rate else 0.0
-                for peer, ask in limit.borrower.asks(now, self._others):
+                for peer, ask in limit.borrower.due_requests(now, self._others):
                     body = _ASK.pack(limit.key, ask.number, min(ask.units, UNITS_PER_LIMIT), ask.renews)
                     sends.append((ASK, body, [peer]))
         self._apply_lowest_rates(now)
@@ -301,10 +301,10 @@
             self.dropped += 1  # this node does not have the limit: it neither lends nor borrows
             return []
         if datagram_type == GRANT:
-            limit.borrower.granted(now, sender, Grant(number, min(units, UNITS_PER_LIMIT)), extra)
+            limit.borrower.handle_grant(now, sender, Grant(number, min(units, UNITS_PER_LIMIT)), extra)
             return []
-        grant = limit.borrower.asked(
-            now, f"{sender}.{incarnation:x}", Ask(number, min(units, UNITS_PER_LIMIT), extra)
+        grant = limit.borrower.handle_request(
+            now, f"{sender}.{incarnation:x}", LoanRequest(number, min(units, UNITS_PER_LIMIT), extra)
         )
         spare = min(limit.borrower.may_lend(now), UNITS_PER_LIMIT)
         return [(GRANT, _GRANT.pack(key, grant.number, grant.units, spare), [sender])]
--- a/pebbledrift/limits/service.py
+++ b/pebbledrift/limits/service.py
@@ -15,7 +15,7 @@
 from pebbledrift.core.model import Attempt, Operation
 from pebbledrift.limits import turns
 from pebbledrift.limits.book import ASK, GRANT, SUM, NodeLimits, Send
-from pebbledrift.limits.turns import TurnLoans
+from pebbledrift.limits.turns import TimeSliceLoans
 from pebbledrift.membership.seal import OVERHEAD
 from pebbledrift.membership.service import Membership
 from spoolpier import interface as api
@@ -41,17 +41,17 @@
     Implements fleet.neighbours.SliceLeases.
     """
 
-    def __init__(self, loans: TurnLoans, now: Callable[[], float]) -> None:
+    def __init__(self, loans: TimeSliceLoans, now: Callable[[], float]) -> None:
         self.loans, self.now = loans, now
         self._reported: tuple[int, ...] | None = None
 
     def holds(self) -> bool:
         """Returns whether every time slice that was reported to the module may still be used."""
-        return self._reported is None or set(self._reported) <= set(self.loans.places(self.now()))
+        return self._reported is None or set(self._reported) <= set(self.loans.usable_indexes(self.now()))
 
     def changed(self) -> tuple[tuple[int, ...], float] | None:
         """Returns the indices of the usable time slices, or None if they are as reported last."""
-        indices = self.loans.places(self.now())
+        indices = self.loans.usable_indexes(self.now())
         if indices == self._reported:
             return None
         if self._reported is not None:
@@ -102,12 +102,12 @@
         )
         engine.observers.append(self._on_state)
         engine.outcome_listeners.append(self._on_outcome)
-        self.loans: TurnLoans | None = None
+        self.loans: TimeSliceLoans | None = None
         self.lent_time_slices: LentTimeSlices | None = None
         if config.lend_turns:
             time_slice_ms, seed = settings.fall_ms, incarnation & 0xFFFFFFFF
             draw = self.node_limits.draw
-            self.loans = TurnLoans(settings.me, time_slice_ms, group.now(), draw, seed)
+            self.loans = TimeSliceLoans(settings.me, time_slice_ms, group.now(), draw, seed)
             self.lent_time_slices = LentTimeSlices(self.loans, group.now)
             group.endpoint.others[TIME_SLICE_ASK] = self._on_time_slice_ask
             group.endpoint.others[TIME_SLICE_GRANT] = self._on_time_slice_grant
@@ -144,8 +144,8 @@
         if self.loans is not None and not group.view.outdone:
             self.loans.entitled = self._entitled(now)
             others = [name for name in self._alive if name != group.group.me.name]
-            for peer, ask in self.loans.asks(now, others):
-                self._send([(TIME_SLICE_ASK, turns.pack_ask(ask), [peer])])
+            for peer, ask in self.loans.due_requests(now, others):
+                self._send([(TIME_SLICE_ASK, turns.pack_request(ask), [peer])])
 
     # -- time slices for cold workers
 
@@ -165,16 +165,16 @@
         return peers.index(address) if address in peers else None
 
     def _on_time_slice_ask(self, now: float, sender: str, body: bytes) -> None:
-        ask = turns.unpack_ask(body)
+        ask = turns.unpack_request(body)
         peer = self.group.endpoint.sealer.peers.get(sender)
         if self.loans is not None and peer is not None:
-            grant = self.loans.asked(now, f"{sender}.{peer.life:x}", ask)
+            grant = self.loans.handle_request(now, f"{sender}.{peer.life:x}", ask)
             self._send([(TIME_SLICE_GRANT, turns.pack_grant(grant), [sender])])
 
     def _on_time_slice_grant(self, now: float, sender: str, body: bytes) -> None:
         grant, index = turns.unpack_grant(body), self._peer_index(sender)
         if self.loans is not None and index is not None:
-            self.loans.granted(now, sender, index, grant)
+            self.loans.handle_grant(now, sender, index, grant)
 
     def _reader(self, datagram_type: bytes) -> Callable[[float, str, bytes], None]:
         def read(now: float, sender: str, body: bytes) -> None:
@@ -220,7 +220,7 @@
         lines = self.node_limits.status_lines(self.group.now())
         if self.loans is not None:
             now = self.group.now()
-            indices = ",".join(map(str, self.loans.places(now))) or "none"
+            indices = ",".join(map(str, self.loans.usable_indexes(now))) or "none"
             lent = "yes" if self.loans.own.lent else "no"
             lines.append(f"turns places={indices} entitled={self.loans.entitled:.2f} lent={lent}")
         return lines
