--- a/tests/cluster/mutations.py
+++ b/tests/cluster/mutations.py
@@ -1,9 +1,9 @@
-"""Takes the mechanisms of the control state out, one at a time, and shows that the tests notice.
+"""Mutation tests: disables the mechanisms of the control state one at a time and checks that tests fail.
 
     python -m tests.cluster.mutations [--only WORD]
 
-copies the tree, changes the copy, and runs the tests that the change should break. Every line of its table
-has to say `noticed`.
+Each mutation is applied to a copy of the tree, where the tests that it should break are run. Every row of
+the printed table has to say `noticed`.
 """
 
 from __future__ import annotations
@@ -17,13 +17,19 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-WORST = "tests/cluster/test_worst_days.py tests/cluster/test_slow_links.py tests/cluster/test_drawn_days.py"
+WORST_CASES = (
+    "tests/cluster/test_worst_days.py tests/cluster/test_slow_links.py tests/cluster/test_drawn_days.py"
+)
 AGREEMENT = "tests/cluster/test_agreement_model.py"
 
 
 @dataclass(frozen=True)
 class Mutation:
-    """A change of the program that takes a mechanism out, and the tests that have to fail with it."""
+    """A source change that disables one mechanism, and the tests that have to fail with it.
+
+    `old` stands exactly once in the file at `path` and is replaced by `new`.
+    `words` is the expression for pytest's `-k` option.
+    """
 
     mechanism: str
     path: str
@@ -35,35 +41,35 @@
 
 MUTATIONS = (
     Mutation(
-        "contact rests on answers, not on arrivals",
+        "contact depends on replies, not on received messages",
         "pebbledrift/chain/replica.py",
         "self.peers.answered_since(now - CONTACT_TIMEOUT_S)",
         "self.peers.live_peers(now)",
-        WORST,
+        WORST_CASES,
         "stood_still",
     ),
     Mutation(
-        "a majority is asked before anything is current",
+        "a replica is current only after a majority has replied",
         "pebbledrift/chain/replica.py",
         "return view.is_quorum(nodes) and self.log.committed >= newest",
         "return self.log.committed >= newest",
-        WORST,
+        WORST_CASES,
         "cut_off",
     ),
     Mutation(
-        "who holds entries that are not committed tells nothing",
+        "a replica with old uncommitted entries does not report its state",
         "pebbledrift/chain/replica.py",
         "return self._pending.age(now) <= MAX_UNCOMMITTED_S",
         "return True",
-        WORST,
+        WORST_CASES,
         "loss_of_all_power",
     ),
     Mutation(
-        "a call is named by its process",
+        "a call ID contains the incarnation of the process",
         "pebbledrift/chain/requests.py",
         "CallId(self.outbox.address, self.agreement.incarnation, self._number)",
         "CallId(self.outbox.address, 0, self._number)",
-        WORST,
+        WORST_CASES,
         "next_process",
     ),
     Mutation(
@@ -71,56 +77,56 @@
         "pebbledrift/chain/requests.py",
         "self._refused.get(message.call) or self._judge(message.order)",
         "self._judge(message.order)",
-        WORST,
+        WORST_CASES,
         "comes_late",
     ),
     Mutation(
-        "a change that was taken is known again",
+        "an accepted change that is sent again is recognized",
         "pebbledrift/control/orders.py",
         "if order.digest in self.accepted:",
         "if False:",
-        WORST,
+        WORST_CASES,
         "sent_again",
     ),
     Mutation(
-        "the promise seals the epoch",
+        "a promise seals the epoch",
         "pebbledrift/chain/link.py",
         "return self.joined and not self.agreement.sealed",
         "return self.joined",
-        WORST,
+        WORST_CASES,
         "epoch_before",
     ),
     Mutation(
-        "the tail commits what all members have synced",
+        "the tail commits only entries that all members have synced",
         "pebbledrift/chain/link.py",
         "        self.log.append(entry)\n        self._sync((entry,))\n        return entry",
         "        self.log.append(entry)\n        self._sync((entry,))\n"
         "        self._on_entries_committed(self.log.commit(entry.sequence))\n        return entry",
-        WORST,
+        WORST_CASES,
         "cut_off or explored or drawn",
     ),
     Mutation(
-        "the head has the newest log of all that promised",
+        "the head has the newest log of all nodes that promised",
         "pebbledrift/chain/planning.py",
         "newest = max(stamp for stamp, _ in stamps.values())",
         "newest = min(stamp for stamp, _ in stamps.values())",
-        WORST,
+        WORST_CASES,
         "power or explored or drawn",
     ),
     Mutation(
-        "a newcomer takes the place of a silent member",
+        "a joining node replaces a silent member",
         "pebbledrift/chain/planning.py",
         "if len(members) >= MAX_MEMBERS or any(_is_gone(status, node, 0.0) for node in members):",
         "if len(members) >= MAX_MEMBERS:",
-        WORST,
+        WORST_CASES,
         "newcomer",
     ),
     Mutation(
-        "a newcomer waits until the dead is missed",
+        "a joining node waits until a dead member is detected",
         "pebbledrift/chain/planning.py",
         "return status.now - peer.alive_since >= ALIVE_TIMEOUT_S + JOIN_SETTLE_S and status.caught_up(peer)",
         "return status.caught_up(peer)",
-        WORST,
+        WORST_CASES,
         "is_missed",
     ),
     Mutation(
@@ -128,43 +134,43 @@
         "pebbledrift/chain/link.py",
         "if message == self._answered_join and self._may_be_in_transit(entries, JOIN_RETRY_S):",
         "if False:",
-        WORST,
+        WORST_CASES,
         "answered_once",
     ),
     Mutation(
-        "times of repair come from the settings",
+        "repair timeouts come from the settings",
         "pebbledrift/chain/planning.py",
         "return cls(min(MAX_REPLACE_S, max(ALIVE_TIMEOUT_S, REPLACE_FRACTION * catch_up_s)), catch_up_s)",
         "return cls(3.0, 4.0)",
-        WORST,
+        WORST_CASES,
         "newcomer",
     ),
     Mutation(
-        "a change of members needs the majority of both",
+        "a membership change needs a majority of the old and the new members",
         "pebbledrift/chain/view.py",
         "return _majority(self.members, nodes) and (\n"
         "            not self.previous_members or _majority(self.previous_members, nodes)\n        )",
         "return _majority(self.members, nodes)",
-        WORST,
+        WORST_CASES,
         "both_sides",
     ),
     Mutation(
-        "a barrier is of one epoch",
+        "a barrier is valid in one epoch only",
         "pebbledrift/chain/link.py",
         "if barrier.epoch != self.epoch or barrier.position",
         "if barrier.position",
-        WORST,
+        WORST_CASES,
         "epoch_that_is_over",
     ),
     Mutation(
-        "what a promiser has accepted goes first",
+        "a view that a promising node has accepted takes precedence",
         "pebbledrift/chain/agreement.py",
         "accepted = [p for p in proposal.promises.values() if p.accepted_view is not None]",
         "accepted: list[Promise] = []",
         AGREEMENT,
     ),
     Mutation(
-        "of what was accepted the highest ballot's goes first",
+        "of the accepted views the one with the highest ballot takes precedence",
         "pebbledrift/chain/agreement.py",
         "return max(accepted, key=",
         "return min(accepted, key=",
@@ -185,7 +191,7 @@
         AGREEMENT,
     ),
     Mutation(
-        "no lower ballot is accepted than was promised",
+        "a ballot lower than the promised one is not accepted",
         "pebbledrift/chain/agreement.py",
         "        if not self._may_vote_on(ballot) or ballot < self.promised:\n"
         "            self._reject(sender, ballot)\n            return\n"
@@ -196,7 +202,7 @@
         AGREEMENT,
     ),
     Mutation(
-        "no lower ballot is promised than before",
+        "a ballot lower than the promised one is not promised",
         "pebbledrift/chain/agreement.py",
         "        if not self._may_vote_on(ballot) or ballot < self.promised:\n"
         "            self._reject(sender, ballot)\n            return\n"
@@ -207,14 +213,14 @@
         AGREEMENT,
     ),
     Mutation(
-        "a vote outlives the process",
+        "a vote survives a restart of the process",
         "pebbledrift/chain/agreement.py",
         "        if vote is not None:\n",
         "        if False:\n",
         AGREEMENT,
     ),
     Mutation(
-        "an epoch is decided by the voters before it",
+        "an epoch is decided by the voters of the previous epoch",
         "pebbledrift/chain/agreement.py",
         "        if self.view.is_quorum(proposal.accepted):",
         "        if proposal.view.is_quorum(proposal.accepted):",
@@ -235,28 +241,28 @@
         AGREEMENT,
     ),
     Mutation(
-        "the chain is a majority",
+        "the chain contains a majority of the members",
         "pebbledrift/chain/agreement.py",
         "        return view if view.is_quorum(view.chain_nodes) else None",
         "        return view",
-        WORST,
+        WORST_CASES,
         "of_the_chain",
     ),
     Mutation(
-        "a replica's next process is another proposer",
+        "a restarted replica is a different proposer",
         "pebbledrift/chain/agreement.py",
         'f"{self.node}#{self.incarnation:x}"',
         "self.node",
         AGREEMENT,
     ),
     Mutation(
-        "who leaves waits until the others hold all",
+        "a leaving node waits until the others hold all entries",
         "pebbledrift/chain/replica.py",
         "if node in view.chain_nodes or len(others) <= self.settings.tolerated_failures:\n"
         "            return False",
         "if node in view.chain_nodes or len(others) <= self.settings.tolerated_failures:\n"
         "            return True",
-        WORST,
+        WORST_CASES,
         "leaves",
     ),
     Mutation(
@@ -264,7 +270,7 @@
         "pebbledrift/chain/transfer.py",
         "        if address == self._source:\n            self._retry_at, self._retry_s = 0.0, RETRY_S",
         "        if address == self._source:\n            self.stop()",
-        WORST,
+        WORST_CASES,
         "broken_off",
     ),
     Mutation(
@@ -272,7 +278,7 @@
         "pebbledrift/chain/transfer.py",
         "if not self.active or now < self._retry_at:",
         "if not self.active:",
-        WORST,
+        WORST_CASES,
         "hundreds",
     ),
     Mutation(
@@ -280,30 +286,30 @@
         "pebbledrift/chain/messages.py",
         "    *(Heartbeat, ViewNotice, Prepare,",
         "    *(ViewNotice, Prepare,",
-        WORST,
+        WORST_CASES,
         "heartbeats_pass",
     ),
     Mutation(
-        "a keeper that stood still tells routers nothing by old heartbeats",
+        "a keeper that was suspended reports nothing to routers based on old heartbeats",
         "pebbledrift/chain/replica.py",
         "self.peers.answered_since(now - CONTACT_TIMEOUT_S)",
         "self.peers.live_peers(now)",
         "tests/cluster/test_relay_cut.py",
     ),
     Mutation(
-        "a whole chain is let go on before it is made longer",
+        "a complete chain continues before it is extended",
         "pebbledrift/chain/coordination.py",
         "    return same and view.is_quorum(view.chain_nodes) and set(view.chain) < set(next_plan.chain)",
         "    return False",
-        WORST,
+        WORST_CASES,
         "slow_links_do",
     ),
     Mutation(
-        "calls are sent again only once they may have arrived",
+        "calls are resent only after they may have arrived",
         "pebbledrift/chain/requests.py",
         "    return len(call.order.body) / SLOWEST_LINK_BYTES_PER_S if call.order is not None else 0.0",
         "    return 0.0",
-        WORST,
+        WORST_CASES,
         "large_call",
     ),
     Mutation(
@@ -311,7 +317,7 @@
         "pebbledrift/chain/link.py",
         '        if node == self._neighbour(1):\n            self._entries_sent_at = float("-inf")',
         "        return",
-        WORST,
+        WORST_CASES,
         "broken_connection",
     ),
     Mutation(
@@ -319,11 +325,11 @@
         "pebbledrift/chain/transfer.py",
         "        return self.stalled(now) and now - self._other_offer_since >= FAILOVER_DELAY_S",
         "        return False",
-        WORST,
+        WORST_CASES,
         "source_is_gone",
     ),
     Mutation(
-        "only an empty disk founds",
+        "only a node with an empty disk can be a founder",
         "pebbledrift/keeper/startup.py",
         "is_founder = disk.was_empty and address in founders",
         "is_founder = address in founders",
@@ -339,7 +345,7 @@
         "failed",
     ),
     Mutation(
-        "a start syncs the slot that it reads",
+        "startup syncs the slot that it reads",
         "pebbledrift/chain/storage.py",
         "            self._slots.sync_newest()\n",
         "",
@@ -354,28 +360,28 @@
         "tests/cluster/test_workers.py",
     ),
     Mutation(
-        "a drain is on the disk before it counts",
+        "a drain is on disk before it is acknowledged",
         "pebbledrift/keeper/workers.py",
         "            self._save_then(lambda: self._network.send(sender, acknowledgement))",
         "            self._network.send(sender, acknowledgement)",
         "tests/cluster/test_workers.py",
     ),
     Mutation(
-        "an answer without the request's id proves nothing",
+        "a response without the request's ID is not accepted as its answer",
         "pebbledrift/router/attempt.py",
         "        if response_id != self.owner.admitted",
         "        if response_id is not None and response_id != self.owner.admitted",
         "tests/cluster/test_worker_answers.py",
     ),
     Mutation(
-        "a connection that is not all written is not kept",
+        "a connection with unwritten data is not kept alive",
         "pebbledrift/router/upstream.py",
         "if message.keep_alive and not self.parser.inside and self._all_written:",
         "if message.keep_alive and not self.parser.inside:",
         "tests/cluster/test_worker_answers.py",
     ),
     Mutation(
-        "a router that starts asks whether its keeper is current",
+        "a starting router checks whether its keeper is current",
         "pebbledrift/overlay/follower.py",
         "if requested_at is None or now - requested_at > MAX_STATUS_REPLY_DELAY_S or not reply.current:",
         "if not reply.current:",
@@ -386,7 +392,7 @@
 
 
 def copy_tree(folder: Path) -> None:
-    """What the tests need, without what is built."""
+    """Copies what the tests need to `folder`, without build products."""
     for name in ("pebbledrift", "spoolpier", "tests", "rig", "pyproject.toml"):
         source = ROOT / name
         if source.is_dir():
@@ -395,37 +401,45 @@
             shutil.copy(source, folder / name)
 
 
-def noticed(mutation: Mutation) -> bool:
-    """Whether the tests fail with a mechanism taken out."""
+def is_detected(mutation: Mutation) -> bool:
+    """Returns whether the tests fail with the mutation applied.
+
+    Raises `SystemExit` if `old` does not stand exactly once in its file, or if pytest cannot run the tests.
+    """
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         copy_tree(folder)
         path = folder / mutation.path
         text = path.read_text()
         if text.count(mutation.old) != 1:
-            raise SystemExit(f"{mutation.mechanism}: {text.count(mutation.old)} places in {mutation.path}")
+            raise SystemExit(
+                f"{mutation.mechanism}: expected one match of the old text in {mutation.path}, "
+                f"got {text.count(mutation.old)}"
+            )
         path.write_text(text.replace(mutation.old, mutation.new))
         command = [sys.executable, "-m", "pytest", "-x", "-q", "-n", "0", *mutation.tests.split()]
         if mutation.words:
             command += ["-k", mutation.words]
-        ran = subprocess.run(command, cwd=folder, capture_output=True, text=True)
-        if ran.returncode not in (0, 1):
-            raise SystemExit(f"{mutation.mechanism}: the tests could not be run\n{ran.stdout[-2000:]}")
-        return ran.returncode == 1
+        result = subprocess.run(command, cwd=folder, capture_output=True, text=True)
+        if result.returncode not in (0, 1):
+            raise SystemExit(f"{mutation.mechanism}: the tests could not be run\n{result.stdout[-2000:]}")
+        return result.returncode == 1
 
 
 def main() -> int:
-    """Try all, and print a table."""
-    parser = argparse.ArgumentParser(description="Takes mechanisms out and shows that the tests notice.")
-    parser.add_argument("--only", default="", help="those with this word in their name")
+    """Runs the selected mutations, prints the table and returns 1 if the tests missed any of them, else 0."""
+    parser = argparse.ArgumentParser(
+        description="Disables mechanisms one at a time and checks that tests fail."
+    )
+    parser.add_argument("--only", default="", help="only mutations with this text in their title")
     only = parser.parse_args().only
-    missed = 0
+    missed_count = 0
     for mutation in MUTATIONS:
         if only in mutation.mechanism:
-            found = noticed(mutation)
-            missed += not found
-            print(f"| {mutation.mechanism} | {'noticed' if found else 'NOT NOTICED'} |", flush=True)
-    return 1 if missed else 0
+            detected = is_detected(mutation)
+            missed_count += not detected
+            print(f"| {mutation.mechanism} | {'noticed' if detected else 'NOT NOTICED'} |", flush=True)
+    return 1 if missed_count else 0
 
 
 if __name__ == "__main__":
