--- a/tests/cluster/test_parser_ends.py
+++ b/tests/cluster/test_parser_ends.py
@@ -1,4 +1,4 @@
-"""Answers without a body, read as a stream: they end with their head."""
+"""Tests that a parser in stream mode ends a response without a body right after its header."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
         (b"HTTP/1.1 200 OK\r\n\r\n", False),
     ],
 )
-def test_an_answer_without_a_body_has_ended(head: bytes, ended: bool) -> None:
+def test_a_response_without_a_body_ends_with_its_header(head: bytes, ended: bool) -> None:
     parser = Parser(Limits(), request=False, stream=True)
     assert len(list(parser.feed(head))) == 1
     assert parser.ended is ended
 
 
-def test_the_next_answer_on_the_connection_is_read_behind_it() -> None:
+def test_the_next_response_on_the_connection_is_parsed_after_it() -> None:
     parser = Parser(Limits(), request=False, stream=True)
     first = b"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n"
     second = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-    found = list(parser.feed(first + second))
-    assert [message.status for message in found] == [421, 200]
-    assert bytes(found[1].body) == b"ok" and parser.ended
+    messages = list(parser.feed(first + second))
+    assert [message.status for message in messages] == [421, 200]
+    assert bytes(messages[1].body) == b"ok" and parser.ended
