--- a/tests/cluster/test_scenarios.py
+++ b/tests/cluster/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays every scenario, on several orders of events."""
+"""Runs every scenario file with several event orders, one per seed."""
 
 from __future__ import annotations
 
@@ -15,6 +15,6 @@
     scenario.Scenario(seed).play(path.read_text())
 
 
-def test_a_line_that_is_no_step_is_told() -> None:
+def test_a_line_with_an_unknown_step_is_reported() -> None:
     with pytest.raises(scenario.ScenarioError, match="line 2: unknown step 'dance'"):
         scenario.Scenario().play("start A B C\ndance A\n")
