--- a/tests/cluster/test_fuzz.py
+++ b/tests/cluster/test_fuzz.py
@@ -1,6 +1,6 @@
-"""Whatever comes from outside is taken whole or refused with the error that is meant for it.
+"""Fuzz tests: any external input is either accepted completely or rejected with the intended error.
 
-PEBBLEDRIFT_FUZZ=N multiplies the number of examples, and draws new ones:
+PEBBLEDRIFT_FUZZ=N multiplies the number of examples by N; with N other than 1 the examples are random:
 
     PEBBLEDRIFT_FUZZ=100 python -m pytest tests/cluster/test_fuzz.py
 """
@@ -72,25 +72,28 @@
 )
 
 
-def paths(value: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The ways to everything in a JSON value."""
-    inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [at, *(path for key, each in inner for path in paths(each, (*at, key)))]
+def paths(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Returns the path of every value that is nested in a JSON value, starting with the value itself."""
+    children = (
+        value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    )
+    return [prefix, *(path for key, child in children for path in paths(child, (*prefix, key)))]
 
 
-def replaced(value: Any, path: tuple[Any, ...], by: Any) -> Any:
-    """The value with something else in one place."""
+def replaced(value: Any, path: tuple[Any, ...], replacement: Any) -> Any:
+    """Returns a copy of a JSON value with the part at `path` replaced."""
     if not path:
-        return by
+        return replacement
     changed = copy.deepcopy(value)
-    place = changed
+    parent = changed
     for key in path[:-1]:
-        place = place[key]
-    place[path[-1]] = by
+        parent = parent[key]
+    parent[path[-1]] = replacement
     return changed
 
 
 def full_config() -> dict[str, Any]:
+    """Returns a valid configuration that uses traffic split, engine limits and quotas."""
     config = example_config(5)
     config["routes"][0]["traffic-split"] = [{"backend": "lm", "weight": 2.0}]
     config["backends"][0]["engine"] = {"slots": 4, "kv-cache-tokens": 1000}
