--- a/tests/cluster/relay_replicas.py
+++ b/tests/cluster/relay_replicas.py
@@ -20,7 +20,7 @@
     """A keeper that commits through its replica. Its disk is fast and never loses data."""
 
     def _make_log(self) -> ReplicatedLog:
-        address, incarnation = self.process.address, self.fabric.next_life()
+        address, incarnation = self.process.address, self.fabric.next_incarnation()
         settings = ReplicaSettings(
             address,
             address,
@@ -57,7 +57,7 @@
         self.gossip.tick(self.fabric.now)
         self.replica.tick(self.fabric.now)
         self._flush()
-        self._tell_state()
+        self._report_state()
 
     def catch_up(self) -> None:
         """Nothing to do: the chain delivers the committed entries."""
@@ -65,10 +65,13 @@
     def _flush(self) -> None:
         outbox = self.replica.outbox
         for write in outbox.take_writes():
-            self.fabric.at(self.fabric.now + DISK_SYNC_S, lambda number=write.number: self._synced(number))  # type: ignore[misc]
+            self.fabric.schedule(
+                self.fabric.now + DISK_SYNC_S,
+                lambda number=write.number: self._synced(number),  # type: ignore[misc]
+            )
         for envelope in outbox.take_envelopes():
             delay = 0.0 if envelope.address == self.process.address else DELAY_S
-            self.fabric.at(
+            self.fabric.schedule(
                 self.fabric.now + delay,
                 lambda to=envelope.address, message=envelope.message: self._arrive(to, message),  # type: ignore[misc]
             )
@@ -81,13 +84,13 @@
     def _arrive(self, receiver: str, message: Any) -> None:
         """Deliver a message unless the link is cut; a frozen process reads it when it resumes."""
         other = self.fabric.keepers.get(receiver)
-        if not isinstance(other, ReplicaKeeper) or (self.process.address, receiver) in self.fabric.cut:
+        if not isinstance(other, ReplicaKeeper) or (self.process.address, receiver) in self.fabric.cut_links:
             return
         self._deliver(other, message)
 
     def _deliver(self, other: ReplicaKeeper, message: Any) -> None:
         if self.fabric.now < other.process.frozen_until:
-            self.fabric.at(other.process.frozen_until, lambda: self._deliver(other, message))
+            self.fabric.schedule(other.process.frozen_until, lambda: self._deliver(other, message))
             return
         if self.fabric.keepers.get(other.process.address) is other:
             other.replica.receive(self.process.address, message, self.fabric.now)
--- a/tests/cluster/relay_simulation.py
+++ b/tests/cluster/relay_simulation.py
@@ -1,7 +1,8 @@
-"""Routers and keepers as models on simulated time: relays, partial views, gossip, and a network that fails.
+"""Simulation of the relay tree with simulated time and injected network faults.
 
-Routers are the real `RelayNode` with real `Gossip`. Keepers are models around the real `RelayRoot`: one log,
-committed to those that hear a majority of the keepers.
+Routers run the real `RelayNode` and the real `Gossip`. Keepers are models around the real `RelayRoot` and
+`Gossip`. Instead of a chain, they share one list of committed entries; a keeper copies it into its log while
+it receives from a majority of the keepers.
 """
 
 from __future__ import annotations
@@ -32,61 +33,63 @@
 from pebbledrift.overlay.sampling import PeerDescriptor
 
 ROUTER_TICK_S = 0.2
-STATE_S = 0.5
-SILENCE_S = 1.6
-RETRY_S = 0.25
+STATE_INTERVAL_S = 0.5
+SILENCE_TIMEOUT_S = 1.6
+CONNECT_RETRY_S = 0.25
 DELAY_S = 0.001
-GOSSIP_LOSS = 0.02
+GOSSIP_LOSS_RATE = 0.02
 
 
 @dataclass
 class Process:
-    """A node's process: dead, frozen, or at work."""
+    """The process of a node, which is running, frozen or dead, and its network link."""
 
     address: str
     zone: str
     alive: bool = True
     frozen_until: float = 0.0
-    link_free_at: float = 0.0  # its link sends one message after the other
+    link_free_at: float = 0.0  # when the link has sent all queued messages; it sends them one at a time
     bytes_sent: int = 0
 
 
 @dataclass(eq=False)
 class Connection:
-    """A connection that a router made. Messages on it arrive in order, or not at all once it has ended."""
+    """A connection opened by a router. It delivers messages in order, and none once it has ended."""
 
     dialer: str
     target: str
     open: bool = False
     ended: bool = False
-    heard: dict[str, float] = field(default_factory=dict)  # by end: when something last arrived there
-    queues: dict[str, deque[bytes]] = field(default_factory=dict)
+    last_received_at: dict[str, float] = field(default_factory=dict)  # by address of the receiving end
+    queues: dict[str, deque[bytes]] = field(default_factory=dict)  # undelivered messages, by receiving end
 
 
-class Incoming:
-    """The link that the accepting node sends on."""
+class IncomingLink:
+    """The link on which the accepting node sends to the router that opened the connection."""
 
     def __init__(self, fabric: Fabric, connection: Connection) -> None:
         self._fabric, self.connection = fabric, connection
 
     def send(self, value: Any) -> None:
+        """Encode a message and send it."""
         self._fabric.transmit(self.connection, self.connection.target, codec.encode(value))
 
     def send_frame(self, data: bytes) -> None:
+        """Send a message that is already encoded as a frame."""
         (value,) = codec.FrameReader().feed(data)
         self.send(value)
 
 
 class Keeper:
-    """A model of a keeper."""
+    """A model of a keeper: the real relay root and gossip, and a log that copies the committed entries."""
 
     def __init__(self, fabric: Fabric, process: Process, children: int) -> None:
         self.fabric, self.process = fabric, process
         self.log = self._make_log()
         self.registry = Registry()
-        self.links: dict[Connection, Incoming] = {}
+        self.links: dict[Connection, IncomingLink] = {}
         self.root = RelayRoot(
-            process.address, fabric.next_life(), self.log, children, self._snapshot, self._current
+            process.address, fabric.next_incarnation(), self.log, children, self._snapshot, self._current
         )
         own = PeerDescriptor(process.address, process.zone, True, 0)
         contacts = [PeerDescriptor(a, "", True, 0) for a in fabric.seeds if a != process.address]
@@ -94,8 +97,8 @@
         self.gossip = Gossip(own, contacts, seed, fabric.datagrams(process), self._merge)
         self.root.spread = self.gossip.spread
         self.root.relays = lambda: [(p.address, p.zone) for p in self.gossip.view.peers if not p.is_keeper]
-        self._told: KeeperState | None = None
-        self._tell_at = 0.0
+        self._reported_state: KeeperState | None = None
+        self._next_report_at = 0.0
 
     def _make_log(self) -> ReplicatedLog:
         return ReplicatedLog()
@@ -107,62 +110,68 @@
         return InstanceSnapshot(tuple(self.registry.snapshot()), True)
 
     def state(self) -> KeeperState:
-        living = self.fabric.keepers_heard_by(self.process.address)
+        """Return the status that this keeper reports to the routers."""
+        living = self.fabric.keepers_reaching(self.process.address)
         majority = len(living) * 2 > len(self.fabric.seeds)
         routers = len({connection.dialer for connection in self.links})
-        places = tuple((a, self.fabric.processes[a].zone) for a in living)
+        keeper_zones = tuple((a, self.fabric.processes[a].zone) for a in living)
         lenders = tuple(living[:2])
-        return KeeperState(1, lenders, majority, self.log.committed, True, places, routers, ())
+        return KeeperState(1, lenders, majority, self.log.committed, True, keeper_zones, routers, ())
 
     def tick(self) -> None:
+        """Run the periodic work: gossip, catching up with the committed entries, and reporting the state."""
         self.gossip.tick(self.fabric.now)
         if self.state().current:
             self.catch_up()
-        self._tell_state()
+        self._report_state()
 
-    def _tell_state(self) -> None:
+    def _report_state(self) -> None:
         state = self.state()
-        if state == self._told and self.fabric.now < self._tell_at:
+        if state == self._reported_state and self.fabric.now < self._next_report_at:
             return
-        self._told, self._tell_at = state, self.fabric.now + STATE_S
+        self._reported_state, self._next_report_at = state, self.fabric.now + STATE_INTERVAL_S
         for link in list(self.links.values()):
             link.send(self.root.notice(state))
 
     def catch_up(self) -> None:
-        for entry in self.fabric.truth[self.log.last.sequence :]:
+        """Append the committed entries that the log lacks, and commit them."""
+        for entry in self.fabric.committed_entries[self.log.last.sequence :]:
             self.log.append(entry)
         self.log.commit(self.log.last.sequence)
 
     def _merge(self, instances: tuple[Instance, ...]) -> None:
         merged = [self.registry.merge(instance, self.fabric.now) for instance in instances]
-        news = tuple(instance for instance in merged if instance is not None)
-        if news:
-            self.root.publish_instances(news)
+        changed = tuple(instance for instance in merged if instance is not None)
+        if changed:
+            self.root.publish_instances(changed)
 
-    def hear(self, instance: Instance) -> None:
-        """A worker's own word: the other keepers that can be reached hear of it too."""
+    def receive_worker_report(self, instance: Instance) -> None:
+        """Merge a worker's report and forward it to the keepers whose messages reach this one."""
         self._merge((instance,))
-        for address in self.fabric.keepers_heard_by(self.process.address):
+        for address in self.fabric.keepers_reaching(self.process.address):
             other = self.fabric.keepers.get(address)
             if other is not None and other is not self:
-                self.fabric.at(self.fabric.now + DELAY_S, lambda other=other: other._merge((instance,)))  # type: ignore[misc]
+                self.fabric.schedule(self.fabric.now + DELAY_S, lambda other=other: other._merge((instance,)))  # type: ignore[misc]
 
     def opened(self, connection: Connection) -> None:
-        link = self.links[connection] = Incoming(self.fabric, connection)
+        """Accept a connection from a router and send it this keeper's state."""
+        link = self.links[connection] = IncomingLink(self.fabric, connection)
         link.send(self.root.notice(self.state()))
 
     def received(self, connection: Connection, message: Any) -> None:
+        """Handle a message from a router; the model ignores token reports and router reports."""
         if connection in self.links and not isinstance(message, TokenReport | RouterReport):
             assert self.root.received(self.links[connection], connection.dialer, message)
 
     def closed(self, connection: Connection) -> None:
+        """Drop the child whose connection has ended."""
         link = self.links.pop(connection, None)
         if link is not None:
             self.root.publisher.drop(link)
 
 
 class Router:
-    """A router: the real node, and what it was told, in order."""
+    """A router: the real relay node, and the configuration revisions that it received, in order."""
 
     def __init__(self, fabric: Fabric, process: Process, children: int) -> None:
         self.fabric, self.process = fabric, process
@@ -172,29 +181,33 @@
         self.connections: dict[str, Connection] = {}
         self.node = RelayNode(settings, self, self._send, fabric.now)
         own = PeerDescriptor(process.address, process.zone, False, 0)
-        known = [PeerDescriptor(address, "", True, 0) for address in contacts]
+        keepers = [PeerDescriptor(address, "", True, 0) for address in contacts]
         seed = fabric.random.randrange(2**32)
-        self.gossip = Gossip(own, known, seed, fabric.datagrams(process), self._rumored)
+        self.gossip = Gossip(own, keepers, seed, fabric.datagrams(process), self._gossip_received)
         self.node.spread = self.gossip.spread
         self.node.peers = lambda: {p.address: p.zone for p in self.gossip.view.peers if not p.is_keeper}
 
-    # what the node asks of its owner
+    # Callbacks of the relay node (RelayOwner)
 
     def configured(self, config: dict[str, Any]) -> None:
+        """Record the revision of a new configuration; revisions must increase."""
         revision = int(config["revision"])
-        assert not self.revisions or revision > self.revisions[-1], f"{self.process.address} went back"
+        assert (
+            not self.revisions or revision > self.revisions[-1]
+        ), f"{self.process.address} received an older or repeated revision"
         self.revisions.append(revision)
 
     def instances_changed(self) -> None:
-        """Nothing is placed here."""
+        """Do nothing: the model assigns no requests to workers."""
 
     def granted(self, grant: TokenGrant) -> None:
-        """Nothing is borrowed here."""
+        """Do nothing: the model borrows no tokens."""
 
     def report(self, epoch: int) -> TokenReport:
+        """Return a token report without quotas."""
         return TokenReport(epoch, 1.0, ())
 
-    def _rumored(self, instances: tuple[Instance, ...]) -> None:
+    def _gossip_received(self, instances: tuple[Instance, ...]) -> None:
         self.node.follower.merge(instances, self.fabric.now)
 
     def _send(self, address: str, message: Any) -> None:
@@ -202,9 +215,10 @@
         if connection is not None and connection.open:
             self.fabric.transmit(connection, self.process.address, codec.encode(message))
 
-    # connections
+    # Connections
 
     def tick(self) -> None:
+        """Run the periodic work: open and close connections as the relay node wants them, and gossip."""
         wanted = self.node.tick(self.fabric.now)
         assert self.process.address not in wanted
         for address in [a for a in self.connections if a not in wanted]:
@@ -214,9 +228,10 @@
         self.gossip.tick(self.fabric.now)
 
     def opened(self, connection: Connection) -> None:
-        """Whoever accepts says nothing first."""
+        """Do nothing: an accepting router does not send first."""
 
     def received(self, connection: Connection, message: Any) -> None:
+        """Pass a message to the relay node."""
         now = self.fabric.now
         if connection.dialer == self.process.address:
             if self.connections.get(connection.target) is connection:
@@ -226,6 +241,7 @@
             self.node.incoming_received(link, connection.dialer, message, now)
 
     def closed(self, connection: Connection) -> None:
+        """Inform the relay node that a connection has ended."""
         if connection.dialer != self.process.address:
             self.node.incoming_closed(self.fabric.incoming(connection))
         elif self.connections.get(connection.target) is connection:
@@ -234,16 +250,18 @@
 
     @property
     def revision(self) -> int:
+        """The configuration revision in force at this router."""
         return self.node.follower.log.state.revision
 
     @property
-    def usable(self) -> set[str]:
+    def ready_workers(self) -> set[str]:
+        """Ids of the workers that this router regards as ready."""
         instances = self.node.follower.registry.instances.values()
         return {i.id for i in instances if i.state == InstanceState.READY}
 
 
 class Fabric:
-    """The network, the clock and all nodes."""
+    """The simulated network, clock, keepers and routers. Times are in seconds."""
 
     def __init__(
         self,
@@ -258,16 +276,16 @@
     ) -> None:
         self.random = random.Random(seed)
         self._keeper_type = keeper_type
-        self.now, self._number, self._lives = 0.0, 0, 0
+        self.now, self._event_number, self._last_incarnation = 0.0, 0, 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._mbps = mbps  # of the link of a keeper, of a router
-        self._children = children  # of a keeper, of a router
-        self.cut: set[tuple[str, str]] = set()
-        self.truth: list[Entry] = []
+        self._mbps = mbps  # link rate of a keeper, of a router
+        self._children = children  # maximum children of a keeper, of a router
+        self.cut_links: set[tuple[str, str]] = set()  # pairs of sender and receiver
+        self.committed_entries: list[Entry] = []
         self.processes: dict[str, Process] = {}
         self.keepers: dict[str, Keeper] = {}
         self.routers: dict[str, Router] = {}
-        self._links: dict[Connection, Incoming] = {}
+        self._links: dict[Connection, IncomingLink] = {}
         self.seeds = [f"10.0.0.{number}:1" for number in range(keepers)]
         for number, address in enumerate(self.seeds):
             self.processes[address] = Process(address, zones[number % len(zones)])
@@ -279,54 +297,60 @@
             self.processes[address] = Process(address, zones[number % len(zones)])
             self.start_router(address)
 
-    def next_life(self) -> int:
-        self._lives += 1
-        return self._lives
+    def next_incarnation(self) -> int:
+        """Return a new incarnation number, larger than all earlier ones."""
+        self._last_incarnation += 1
+        return self._last_incarnation
 
-    # time
+    # Time
 
-    def at(self, time: float, action: Callable[[], None]) -> None:
-        self._number += 1
-        heapq.heappush(self._events, (time, self._number, action))
+    def schedule(self, time: float, action: Callable[[], None]) -> None:
+        """Run an action at a simulated time; actions of the same time run in the order of these calls."""
+        self._event_number += 1
+        heapq.heappush(self._events, (time, self._event_number, action))
 
     def run(self, seconds: float) -> None:
+        """Advance the clock, running all actions that are due."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
         self.now = end
 
-    def _repeat(self, process: Process, node: Keeper | Router, period: float) -> None:
-        """Tick a node as long as this life of it lasts; a frozen one catches up when it wakes."""
+    def _tick_repeatedly(self, process: Process, node: Keeper | Router, period: float) -> None:
+        """Tick a node until it is killed or restarted. A frozen node is next ticked when it resumes."""
         if self._node(process.address) is not node:
             return
         if self.now < process.frozen_until:
-            self.at(process.frozen_until, lambda: self._repeat(process, node, period))
+            self.schedule(process.frozen_until, lambda: self._tick_repeatedly(process, node, period))
             return
         node.tick()
-        self.at(
-            self.now + period * self.random.uniform(0.9, 1.1), lambda: self._repeat(process, node, period)
+        self.schedule(
+            self.now + period * self.random.uniform(0.9, 1.1),
+            lambda: self._tick_repeatedly(process, node, period),
         )
 
-    # nodes
+    # Nodes
 
     def _node(self, address: str) -> Keeper | Router | None:
         return self.keepers.get(address) or self.routers.get(address)
 
     def start_keeper(self, address: str) -> None:
+        """Start a keeper as a new incarnation with an empty state."""
         process = self.processes[address]
         process.alive = True
         self.keepers[address] = self._keeper_type(self, process, self._children[0])
-        self._repeat(process, self.keepers[address], 0.05)
+        self._tick_repeatedly(process, self.keepers[address], 0.05)
 
     def start_router(self, address: str) -> None:
+        """Start a router with an empty state."""
         process = self.processes[address]
         process.alive = True
         self.routers[address] = Router(self, process, self._children[1])
-        self._repeat(process, self.routers[address], ROUTER_TICK_S)
+        self._tick_repeatedly(process, self.routers[address], ROUTER_TICK_S)
 
     def kill(self, address: str) -> None:
-        """End a process: its peers are told by their kernels."""
+        """Kill a process. The kernel closes its connections, so its peers see them end."""
         self.processes[address].alive = False
         self.keepers.pop(address, None)
         self.routers.pop(address, None)
@@ -334,94 +358,105 @@
             self.end(connection, address)
 
     def freeze(self, address: str, seconds: float) -> None:
+        """Stop a process from running for a number of seconds; its connections stay open."""
         self.processes[address].frozen_until = self.now + seconds
 
     def cut_off(self, one: Iterable[str], others: Iterable[str]) -> None:
+        """Cut the network between two groups of nodes, in both directions."""
         for a in one:
             for b in others:
                 if a != b:
-                    self.cut |= {(a, b), (b, a)}
+                    self.cut_links |= {(a, b), (b, a)}
 
     def heal(self) -> None:
-        self.cut.clear()
+        """Repair all cuts."""
+        self.cut_links.clear()
 
-    def keepers_heard_by(self, address: str) -> list[str]:
-        """The keepers that a keeper hears, itself among them."""
+    def keepers_reaching(self, address: str) -> list[str]:
+        """Return the running keepers whose messages reach a keeper, including itself."""
         return [
             other
             for other in self.seeds
             if other in self.keepers
-            and (other, address) not in self.cut
+            and (other, address) not in self.cut_links
             and self.now >= self.processes[other].frozen_until
         ]
 
     def commit(self, revision: int, size: int = 0) -> None:
-        """A change is acknowledged: every keeper of a majority has it."""
+        """Commit a configuration with `size` bytes of padding; keepers in a majority get it at once."""
         body = json.dumps({"revision": revision, "fill": "x" * size}).encode()
-        base = self.truth[-1].sequence if self.truth else 0
-        order = Order(OrderKind.REPLACE, _revision(self.truth), body)
-        self.truth.append(Entry(1, base + 1, order))
+        base = self.committed_entries[-1].sequence if self.committed_entries else 0
+        order = Order(OrderKind.REPLACE, _revision(self.committed_entries), body)
+        self.committed_entries.append(Entry(1, base + 1, order))
         for keeper in self.keepers.values():
             if keeper.state().current:
                 keeper.catch_up()
 
-    def worker(self, name: str, keeper: str, state: InstanceState) -> None:
-        """A worker tells a keeper where it stands."""
-        told = (
+    def report_worker(self, name: str, keeper: str, state: InstanceState) -> None:
+        """Let a worker report its state to a keeper."""
+        instance = (
             gone_instance(name)
             if state == InstanceState.GONE
             else _instance(name, state, int(self.now * 1000))
         )
-        self.keepers[keeper].hear(told)
+        self.keepers[keeper].receive_worker_report(instance)
 
-    # connections
+    # Connections
 
     def _connections(self, address: str) -> list[Connection]:
-        made = [c for router in self.routers.values() for c in router.connections.values()]
-        made += list(self._links)
-        return [c for c in dict.fromkeys(made) if address in (c.dialer, c.target) and not c.ended]
+        connections = [c for router in self.routers.values() for c in router.connections.values()]
+        connections += list(self._links)
+        return [c for c in dict.fromkeys(connections) if address in (c.dialer, c.target) and not c.ended]
 
-    def incoming(self, connection: Connection) -> Incoming:
-        return self._links.setdefault(connection, Incoming(self, connection))
+    def incoming(self, connection: Connection) -> IncomingLink:
+        """Return the link on which the accepting end of a connection sends."""
+        return self._links.setdefault(connection, IncomingLink(self, connection))
 
     def dial(self, dialer: str, target: str) -> Connection:
+        """Open a connection; it is retried until the target accepts or the dialer closes it."""
         connection = Connection(dialer, target)
-        self.at(self.now + 2 * DELAY_S, lambda: self._connect(connection))
+        self.schedule(self.now + 2 * DELAY_S, lambda: self._connect(connection))
         return connection
 
     def _connect(self, connection: Connection) -> None:
         if connection.ended:
             return
         accepting = self._node(connection.target)
-        reachable = (connection.dialer, connection.target) not in self.cut
+        reachable = (connection.dialer, connection.target) not in self.cut_links
         if accepting is None or not reachable or self.now < self.processes[connection.target].frozen_until:
-            self.at(self.now + RETRY_S, lambda: self._connect(connection))
+            self.schedule(self.now + CONNECT_RETRY_S, lambda: self._connect(connection))
             return
         connection.open = True
-        connection.heard = {connection.dialer: self.now, connection.target: self.now}
+        connection.last_received_at = {connection.dialer: self.now, connection.target: self.now}
         connection.queues = {connection.dialer: deque(), connection.target: deque()}
         self.incoming(connection)
         accepting.opened(connection)
         router = self.routers.get(connection.dialer)
         if router is not None and router.connections.get(connection.target) is connection:
             router.node.outgoing_opened(connection.target, self.now)
-        self._watch(connection)
+        self._check_silence(connection)
 
-    def _watch(self, connection: Connection) -> None:
-        """Both ends send now and then, and give up one that nothing came on for long."""
+    def _check_silence(self, connection: Connection) -> None:
+        """Model heartbeats of both ends; an end that receives none for SILENCE_TIMEOUT_S disconnects."""
         if connection.ended:
             return
         for end, other in ((connection.dialer, connection.target), (connection.target, connection.dialer)):
-            awake = self.now >= self.processes[other].frozen_until and self.processes[other].alive
-            if awake and (other, end) not in self.cut:
-                connection.heard[end] = self.now
-            if self.now - connection.heard[end] > SILENCE_S and self.now >= self.processes[end].frozen_until:
+            sending = self.now >= self.processes[other].frozen_until and self.processes[other].alive
+            if sending and (other, end) not in self.cut_links:
+                connection.last_received_at[end] = self.now
+            if (
+                self.now - connection.last_received_at[end] > SILENCE_TIMEOUT_S
+                and self.now >= self.processes[end].frozen_until
+            ):
                 self.end(connection, end)
                 return
-        self.at(self.now + STATE_S, lambda: self._watch(connection))
+        self.schedule(self.now + STATE_INTERVAL_S, lambda: self._check_silence(connection))
 
     def end(self, connection: Connection, by: str) -> None:
-        """One end closes; the other notices, at the latest when nothing came for long."""
+        """Close a connection at one end.
+
+        The other end notices after the network delay, or after SILENCE_TIMEOUT_S if the network is cut.
+        """
         if connection.ended:
             return
         connection.ended, was_open = True, connection.open
@@ -431,19 +466,22 @@
             node = self._node(by)
             if node is not None:
                 node.closed(connection)
-            quiet = (by, other) in self.cut
-            self.at(self.now + (SILENCE_S if quiet else DELAY_S), lambda: self._noticed(connection, other))
+            unreachable = (by, other) in self.cut_links
+            self.schedule(
+                self.now + (SILENCE_TIMEOUT_S if unreachable else DELAY_S),
+                lambda: self._peer_closed(connection, other),
+            )
         else:
             self._links.pop(connection, None)
 
-    def _noticed(self, connection: Connection, address: str) -> None:
+    def _peer_closed(self, connection: Connection, address: str) -> None:
         node = self._node(address)
         if node is not None:
             node.closed(connection)
         self._links.pop(connection, None)
 
     def transmit(self, connection: Connection, sender: str, data: bytes) -> None:
-        """Send a message over a connection, behind all that the sender's link still has to send."""
+        """Send a message over a connection, after all messages that are queued on the sender's link."""
         if connection.ended or not connection.open:
             return
         process = self.processes[sender]
@@ -453,7 +491,7 @@
             self._link_mbps(sender) * 1e6
         )
         connection.queues[receiver].append(data)
-        self.at(process.link_free_at + DELAY_S, lambda: self._arrive(connection, sender, receiver))
+        self.schedule(process.link_free_at + DELAY_S, lambda: self._arrive(connection, sender, receiver))
 
     def _link_mbps(self, address: str) -> float:
         return self._mbps[0] if address in self.seeds else self._mbps[1]
@@ -462,10 +500,10 @@
         queue = connection.queues[receiver]
         if connection.ended or not queue:
             return
-        awake_at = self.processes[receiver].frozen_until
-        if (sender, receiver) in self.cut or self.now < awake_at:
-            again = max(self.now + 0.05, awake_at)
-            self.at(again, lambda: self._arrive(connection, sender, receiver))
+        resumes_at = self.processes[receiver].frozen_until
+        if (sender, receiver) in self.cut_links or self.now < resumes_at:
+            retry_at = max(self.now + 0.05, resumes_at)
+            self.schedule(retry_at, lambda: self._arrive(connection, sender, receiver))
             return
         node = self._node(receiver)
         message = codec.decode(queue.popleft())
@@ -473,14 +511,14 @@
             node.received(connection, message)
 
     def datagrams(self, process: Process) -> Callable[[str, Any], None]:
-        """What a node sends datagrams by."""
+        """Return the function with which a node sends datagrams."""
 
         def send(address: str, value: Any) -> None:
             data = codec.encode(value)
-            assert len(data) < 1400, f"a datagram of {len(data)} bytes"
+            assert len(data) < 1400, f"a datagram of {len(data)} bytes, but it must be shorter than 1400"
             process.bytes_sent += len(data)
-            if self.random.random() >= GOSSIP_LOSS:
-                self.at(self.now + DELAY_S, lambda: self._datagram(process.address, address, data))
+            if self.random.random() >= GOSSIP_LOSS_RATE:
+                self.schedule(self.now + DELAY_S, lambda: self._datagram(process.address, address, data))
 
         return send
 
@@ -489,17 +527,17 @@
         if (
             node is None
             or process is None
-            or (sender, receiver) in self.cut
+            or (sender, receiver) in self.cut_links
             or self.now < process.frozen_until
         ):
             return
         node.gossip.received(codec.decode(data))
 
 
-def _revision(truth: list[Entry]) -> int:
-    if not truth or truth[-1].order is None:
+def _revision(committed_entries: list[Entry]) -> int:
+    if not committed_entries or committed_entries[-1].order is None:
         return 0
-    return int(json.loads(truth[-1].order.body)["revision"])
+    return int(json.loads(committed_entries[-1].order.body)["revision"])
 
 
 def _instance(name: str, state: InstanceState, sequence: int) -> Instance:
--- a/tests/cluster/test_relay.py
+++ b/tests/cluster/test_relay.py
@@ -15,12 +15,12 @@
     Shuffle,
 )
 from pebbledrift.overlay.uplinks import MAX_UPLINKS, REFUSED_RETRY_S, UplinkPlan
-from tests.cluster.relay_scenario import RelayScenario, files
+from tests.cluster.relay_scenario import RelayScenario, scenario_files
 
 SEEDS = range(3)
 
 
-@pytest.mark.parametrize("path", files(), ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", scenario_files(), ids=lambda path: path.stem)
 def test_scenario(path: Path) -> None:
     for seed in SEEDS:
         RelayScenario(seed).play(path.read_text())
