--- a/pebbledrift/chain/link.py
+++ b/pebbledrift/chain/link.py
@@ -323,9 +323,9 @@
 
     # barriers
 
-    def start_barrier(self, call: CallId, judgement: OrderResult | None) -> None:
-        """Sends a judgement or a read down the chain behind all entries so far; called at the head only."""
-        self.on_barrier(Barrier(self.epoch, 0, self.log.last.sequence, call, judgement))
+    def start_barrier(self, call: CallId, result: OrderResult | None) -> None:
+        """Sends a result or a read down the chain behind all entries so far; called at the head only."""
+        self.on_barrier(Barrier(self.epoch, 0, self.log.last.sequence, call, result))
 
     def on_barrier(self, barrier: Barrier) -> None:
         """Forwards a barrier, or handles it at the tail; a replica that has left the epoch drops it."""
--- a/pebbledrift/chain/log.py
+++ b/pebbledrift/chain/log.py
@@ -120,12 +120,12 @@
 
     def snapshot(self) -> Snapshot:
         """A snapshot of the committed state."""
-        config, taken = self.state.dump()
-        return Snapshot(self.committed, config, taken)
+        config, accepted = self.state.dump()
+        return Snapshot(self.committed, config, accepted)
 
     def restore(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
         """Replaces the log by a committed state and the entries after it."""
-        self.state.restore(snapshot.config, snapshot.taken)
+        self.state.restore(snapshot.config, snapshot.accepted)
         self.committed = self.base = Stamp(*snapshot.stamp)
         self.entries = []
         for entry in entries:
--- a/pebbledrift/chain/messages.py
+++ b/pebbledrift/chain/messages.py
@@ -52,7 +52,7 @@
 
     stamp: tuple[int, int]
     config: bytes
-    taken: list[tuple[bytes, int]]  # digests of accepted orders with their revisions, oldest first
+    accepted: list[tuple[bytes, int]]  # digests of accepted orders with their revisions, oldest first
 
 
 @message(60)
@@ -181,7 +181,7 @@
     position: int  # position in the chain of the receiver
     after: int  # sequence that must be committed before the tail answers
     call: CallId
-    judgement: OrderResult | None
+    result: OrderResult | None
 
 
 @message(75)
@@ -232,11 +232,11 @@
 
 @message(81)
 class Answer:
-    """The judgement on an order. For a read there is none, and the caller waits for the committed stamp."""
+    """The result of an order. For a read there is none, and the caller waits for the committed stamp."""
 
     call: CallId
     epoch: int  # of the chain that answered
-    judgement: OrderResult | None
+    result: OrderResult | None
     committed: tuple[int, int]
 
 
--- a/pebbledrift/chain/replica.py
+++ b/pebbledrift/chain/replica.py
@@ -19,7 +19,7 @@
 from pebbledrift.chain.outbox import Outbox
 from pebbledrift.chain.peers import CONTACT_TIMEOUT_S, PeerTable
 from pebbledrift.chain.planning import SilenceLimits
-from pebbledrift.chain.requests import JudgementCallback, RequestHandler
+from pebbledrift.chain.requests import RequestHandler, ResultCallback
 from pebbledrift.chain.transfer import SnapshotSource
 from pebbledrift.chain.view import View, address_of
 from pebbledrift.control.orders import Check, Order
@@ -157,7 +157,7 @@
         self.outbox.now = now
         self.outbox.synced(number)
 
-    def call(self, order: Order | None, now: float, timeout_s: float, on_done: JudgementCallback) -> None:
+    def call(self, order: Order | None, now: float, timeout_s: float, on_done: ResultCallback) -> None:
         """Make an operator's call, or a read if `order` is None. See RequestHandler.call."""
         self.outbox.now = now
         self.requests.call(order, now, timeout_s, on_done)
--- a/pebbledrift/chain/requests.py
+++ b/pebbledrift/chain/requests.py
@@ -16,7 +16,7 @@
 RESEND_AFTER_S = 0.4  # a call without an answer is submitted to the head again
 MAX_PENDING_CALLS = 256
 MAX_REFUSED_CALLS = 4096  # refused calls that the head of an epoch remembers
-JudgementCallback = Callable[[OrderResult | None], None]
+ResultCallback = Callable[[OrderResult | None], None]
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
 
     id: CallId
     order: Order | None  # None: a read
-    on_done: JudgementCallback
+    on_done: ResultCallback
     deadline: float
     send_at: float
     epoch: int = 0  # the epoch to whose head it was last submitted
@@ -38,7 +38,7 @@
 
 
 class RequestHandler:
-    """Tracks the calls made at this keeper, and judges those of all keepers while this one is the head."""
+    """Tracks the calls made at this keeper, and evaluates those of all keepers while this one is the head."""
 
     def __init__(
         self, agreement: Agreement, link: ChainLink, log: ReplicatedLog, outbox: Outbox, check: Check
@@ -52,10 +52,10 @@
 
     # at the keeper where the call was made
 
-    def call(self, order: Order | None, now: float, timeout_s: float, on_done: JudgementCallback) -> None:
+    def call(self, order: Order | None, now: float, timeout_s: float, on_done: ResultCallback) -> None:
         """Make a call: an order, or a read if there is none.
 
-        `on_done` receives the judgement, or None if there is no clear answer in time or there are too many
+        `on_done` receives the result, or None if there is no clear answer in time or there are too many
         pending calls.
         """
         if len(self._pending) >= MAX_PENDING_CALLS:
@@ -76,9 +76,9 @@
         head = address_of(view.chain[0].node)
         self.outbox.send(head, Submit(call.id, view.epoch, call.order))
 
-    def _finish(self, call: PendingCall, judgement: OrderResult | None) -> None:
+    def _finish(self, call: PendingCall, result: OrderResult | None) -> None:
         if self._pending.pop(call.id, None) is not None:
-            call.on_done(judgement)
+            call.on_done(result)
 
     def tick(self, now: float) -> None:
         """Send calls without an answer again, and finish those whose deadline has passed."""
@@ -100,8 +100,8 @@
         if call.order is None:
             call.read_sequence = message.committed[1]
             self.on_commit()
-        elif message.judgement is not None and message.epoch == call.epoch:
-            self._finish(call, message.judgement)
+        elif message.result is not None and message.epoch == call.epoch:
+            self._finish(call, message.result)
 
     def on_not_head(self, message: NotHead, now: float) -> None:
         """Adopt the newer view, and submit the call to its head soon."""
@@ -121,14 +121,14 @@
     # at the head
 
     def enter_view(self) -> None:
-        """Discard the judgements of the previous view, except what is in the log, and resend the calls."""
+        """Discard the results of the previous view, except what is in the log, and resend the calls."""
         self._state = None
         self._refused.clear()
         for call in self._pending.values():
             call.send_at = min(call.send_at, self.outbox.now)
 
     def on_submit(self, sender: str, message: Submit) -> None:
-        """Judge a call against the newest state, if this replica is the head of the call's epoch."""
+        """Evaluate a call against the newest state, if this replica is the head of the call's epoch."""
         if not self.link.is_head or message.epoch != self.link.epoch:
             if self.agreement.view is not None:
                 self.outbox.send(sender, NotHead(message.call, self.agreement.view))
@@ -136,23 +136,23 @@
         if message.order is None:
             self.link.start_barrier(message.call, None)
             return
-        judgement = self._refused.get(message.call) or self._judge(message.order)
-        if judgement.status == OrderStatus.ACCEPTED:
+        result = self._refused.get(message.call) or self._evaluate(message.order)
+        if result.status == OrderStatus.ACCEPTED:
             self.link.append(message.order)
             return
-        self._remember_refusal(message.call, judgement)
-        self.link.start_barrier(message.call, judgement)
+        self._remember_refusal(message.call, result)
+        self.link.start_barrier(message.call, result)
 
-    def _judge(self, order: Order) -> OrderResult:
+    def _evaluate(self, order: Order) -> OrderResult:
         if self._state is None:
             self._state = self.log.speculative(self._check)
         return self._state.apply(order)
 
-    def _remember_refusal(self, call: CallId, judgement: OrderResult) -> None:
+    def _remember_refusal(self, call: CallId, result: OrderResult) -> None:
         """Remember a refused call, so that a delayed copy of it is refused whatever the state is by then."""
-        if judgement.status == OrderStatus.ALREADY_ACCEPTED:
+        if result.status == OrderStatus.ALREADY_ACCEPTED:
             return
-        self._refused[call] = judgement
+        self._refused[call] = result
         while len(self._refused) > MAX_REFUSED_CALLS:
             del self._refused[next(iter(self._refused))]
 
@@ -163,5 +163,5 @@
 
         All entries before it are committed, and its epoch is still the current one.
         """
-        answer = Answer(barrier.call, barrier.epoch, barrier.judgement, self.log.committed)
+        answer = Answer(barrier.call, barrier.epoch, barrier.result, self.log.committed)
         self.outbox.send(barrier.call.origin, answer)
--- a/pebbledrift/control/quota.py
+++ b/pebbledrift/control/quota.py
@@ -73,7 +73,7 @@
 class _SpendingStep:
     """Tokens spent within HISTORY_STEP_S; all of them expire with the last one."""
 
-    began: float
+    started_at: float
     last: float
     tokens: float
 
@@ -91,7 +91,7 @@
         self.total(at)
         self._total += tokens
         newest = self._steps[-1] if self._steps else None
-        if newest is not None and at - newest.began < HISTORY_STEP_S:
+        if newest is not None and at - newest.started_at < HISTORY_STEP_S:
             newest.last, newest.tokens = at, newest.tokens + tokens
         else:
             self._steps.append(_SpendingStep(at, at, tokens))
@@ -147,7 +147,7 @@
     name: str
     rate: float
     burst: float
-    in_tokens: bool
+    counts_tokens: bool
     uncached_tokens: float
 
 
@@ -157,11 +157,11 @@
     for tenant in (config or {}).get("tenants") or []:
         rate = float(tenant.get("rate-per-s") or 0.0)
         if rate > 0:
-            in_tokens = tenant.get("unit") == "tokens"
+            counts_tokens = tenant.get("unit") == "tokens"
             uncached_tokens = float(tenant.get("uncached-tokens") or 0.0)
             quotas.append(
                 TenantQuota(
-                    tenant["name"], rate, float(tenant.get("burst") or 0.0), in_tokens, uncached_tokens
+                    tenant["name"], rate, float(tenant.get("burst") or 0.0), counts_tokens, uncached_tokens
                 )
             )
     return quotas
--- a/pebbledrift/core/engine.py
+++ b/pebbledrift/core/engine.py
@@ -193,18 +193,18 @@
         import_job(self._dispatcher, self._arrival(operation, grace), state)
         now = self.clock.now_ms()
         for number in range(int(state["attempts"])):
-            suspect = next((s for s in state["suspects"] if s["number"] == number), None)
-            worker = suspect["worker"] if suspect is not None else 0
-            sent_ms = suspect["sent_at"] if suspect is not None else now
+            possible_run = next((s for s in state["suspects"] if s["number"] == number), None)
+            worker = possible_run["worker"] if possible_run is not None else 0
+            sent_ms = possible_run["sent_at"] if possible_run is not None else now
             destination = self.destinations.find(worker) or UnreachableDestination()
             attempt = Attempt(operation, number, worker, destination, sent_ms, now + grace)
             operation.attempts.append(attempt)
-            if suspect is None:
+            if possible_run is None:
                 attempt.outcome = api.OutcomeKind.NOT_SENT  # proven never to have run
-            elif not suspect["open"]:
+            elif not possible_run["open"]:
                 attempt.outcome = api.OutcomeKind.UNKNOWN
             else:
-                attempt.started = suspect["started"]
+                attempt.started = possible_run["started"]
                 attempt.timer = self._loop.call_later(grace / 1000, self._attempt_timed_out, attempt)
         self._wake(now)
 
--- a/pebbledrift/keeper/api.py
+++ b/pebbledrift/keeper/api.py
@@ -31,7 +31,7 @@
     413: "413 Content Too Large",
     503: "503 Service Unavailable",
 }
-STATUS_OF_VERDICT = {
+HTTP_STATUS_OF_RESULT = {
     OrderStatus.ACCEPTED: 200,
     OrderStatus.ALREADY_ACCEPTED: 200,
     OrderStatus.CONFLICT: 412,
@@ -155,11 +155,11 @@
         body = _body(environ)
         if len(body) > MAX_BODY_BYTES:
             return Reply(413, {"error": f"a configuration has at most {MAX_BODY_BYTES} bytes"})
-        judgement = self._on_loop(self._backend.submit_order(Order(kind, int(base), body)))
-        if judgement is None:
+        result = self._on_loop(self._backend.submit_order(Order(kind, int(base), body)))
+        if result is None:
             return Reply(503, {"error": "no clear answer: send the same again"})
-        status = STATUS_OF_VERDICT[OrderStatus(judgement.status)]
-        return Reply(status, {} if status == 200 else {"error": judgement.reason})
+        status = HTTP_STATUS_OF_RESULT[OrderStatus(result.status)]
+        return Reply(status, {} if status == 200 else {"error": result.reason})
 
 
 def _body(environ: dict[str, Any]) -> bytes:
--- a/pebbledrift/keeper/instance_store.py
+++ b/pebbledrift/keeper/instance_store.py
@@ -23,8 +23,8 @@
 class InstanceStore:
     """Saves the newest snapshot in a separate thread; a slow disk skips intermediate snapshots."""
 
-    def __init__(self, folder: Path) -> None:
-        self._slots = SlotPair(folder, "instances")
+    def __init__(self, directory: Path) -> None:
+        self._slots = SlotPair(directory, "instances")
         self._pending_snapshot: InstanceSnapshot | None = None
         self._waiting_callbacks: list[SavedCallback] = []  # called once the pending snapshot is on disk
         self._condition = threading.Condition()
--- a/pebbledrift/keeper/lending.py
+++ b/pebbledrift/keeper/lending.py
@@ -29,7 +29,7 @@
     """Lends quota tokens to routers while this keeper is the head of the chain. Times are loop times."""
 
     def __init__(self, window: QuotaWindow) -> None:
-        self._bank = QuotaLender(window)
+        self._lender = QuotaLender(window)
         self._epoch = 0
         self._was_head = False
         self._cleared_at = 0.0
@@ -39,16 +39,16 @@
     def on_commit(self, epoch: int, is_head: bool, config: dict[str, Any] | None, now: float) -> None:
         """Applies the view and the configuration after a commit.
 
-        In a new view, a keeper that was not the head before starts with an empty bank.
+        In a new view, a keeper that was not the head before starts with nothing lent.
         """
         if epoch != self._epoch:
             self._epoch = epoch
             if not self._was_head:
                 self._reports = {n: report for n, report in self._reports.items() if report.epoch >= epoch}
-                self._bank.clear()
+                self._lender.clear()
                 self._cleared_at = now
         self._was_head = is_head
-        self._bank.configure(quotas_of(config), now)
+        self._lender.configure(quotas_of(config), now)
 
     def note_router_count(self, count: int, now: float) -> None:
         """Records how many routers a keeper is connected to; the largest recent count is used."""
@@ -63,16 +63,16 @@
         if report.epoch < self._epoch or router in self._reports:
             return  # all spending after the first report was lent by this keeper and is already counted
         self._reports[router] = _EpochReport(
-            report.epoch, SpendingReport(report.age_s, dict(report.taken), now)
+            report.epoch, SpendingReport(report.age_s, dict(report.spent), now)
         )
         routers, since = self._router_count.value, now - self._cleared_at
         if since > REPORT_WINDOW_S or (len(self._reports) < routers and since < MISSING_REPORTS_WAIT_S):
             return
-        self._bank.reconcile([received.report for received in self._reports.values()], routers, now)
+        self._lender.reconcile([received.report for received in self._reports.values()], routers, now)
 
     def status(self, now: float) -> dict[str, dict[str, float]]:
         """Returns by tenant its rate and burst, the tokens lent in the window, and the window's maximum."""
-        return self._bank.status(now)
+        return self._lender.status(now)
 
     def lend(self, request: TokenRequest, is_active_head: bool, now: float) -> TokenGrant:
         """Answers a router's request for tokens.
@@ -83,5 +83,5 @@
         if not is_active_head:
             return TokenGrant(request.number, 0, request.tenant, 0.0, NOT_HEAD_RETRY_S)
         priority = LoanPriority(request.priority)
-        granted, wait = self._bank.lend(request.tenant, request.need, request.want, now, priority)
+        granted, wait = self._lender.lend(request.tenant, request.need, request.want, now, priority)
         return TokenGrant(request.number, self._epoch, request.tenant, granted, wait)
--- a/pebbledrift/keeper/service.py
+++ b/pebbledrift/keeper/service.py
@@ -305,16 +305,16 @@
 
     async def read_config(self) -> dict[str, Any] | None:
         """Returns the newest configuration; None if this keeper cannot confirm that it has it."""
-        judgement = await self._call(None)
-        return self.replica.log.state.config if judgement is not None else None
+        result = await self._call(None)
+        return self.replica.log.state.config if result is not None else None
 
     async def _call(self, order: Order | None) -> OrderResult | None:
         """Passes an order, or a read if it is None, to the replica; None if there is no clear answer."""
         done: asyncio.Future[OrderResult | None] = self.loop.create_future()
 
-        def finish(judgement: OrderResult | None) -> None:
+        def finish(result: OrderResult | None) -> None:
             if not done.done():
-                done.set_result(judgement)
+                done.set_result(result)
 
         self.replica.call(order, self.loop.time(), CALL_TIMEOUT_S, finish)
         self._drain_outbox()
--- a/pebbledrift/overlay/messages.py
+++ b/pebbledrift/overlay/messages.py
@@ -167,8 +167,8 @@
 
 @message(122)
 class TokenReport:
-    """Tokens taken of each quota, in slots of half a second, newest first; the router has run for `age_s`."""
+    """Tokens spent of each quota, in slots of half a second, newest first; the router has run for `age_s`."""
 
     epoch: int
     age_s: float
-    taken: tuple[tuple[str, tuple[float, ...]], ...]
+    spent: tuple[tuple[str, tuple[float, ...]], ...]
--- a/pebbledrift/overlay/node.py
+++ b/pebbledrift/overlay/node.py
@@ -61,7 +61,7 @@
         """The keeper that lends tokens has answered a request."""
 
     def report(self, epoch: int) -> TokenReport:
-        """Return the tokens recently taken of each quota, for a lender of this epoch."""
+        """Return the tokens recently spent of each quota, for a lender of this epoch."""
 
 
 @dataclass(slots=True)
@@ -253,7 +253,7 @@
             del self._hints[next(iter(self._hints))]
 
     def _report_quotas(self, now: float) -> None:
-        """Send the recently taken tokens to a keeper that has begun to lend."""
+        """Send the recently spent tokens to a keeper that has begun to lend."""
         lender, epoch = self.lender(), self.follower.epoch(now)
         if lender is not None and epoch > self._reported_epoch:
             self._reported_epoch = epoch
--- a/tests/cluster/explorer.py
+++ b/tests/cluster/explorer.py
@@ -24,7 +24,7 @@
 from pebbledrift.chain.view import FOUNDING_GENERATION, founding_view, node_name
 from pebbledrift.cluster import codec
 from pebbledrift.control.orders import Order, OrderResult, OrderStatus
-from tests.cluster.simulation import TAKEN, change, check
+from tests.cluster.simulation import ACCEPTED, change, check
 
 ADDRESSES = ("a:1", "b:1", "c:1")
 STEP_S = 0.0002  # between events
@@ -202,18 +202,18 @@
         orders = [entry.order for entry in self.committed.values() if entry.order is not None]
         assert len(orders) <= 1, "two changes committed on one base"
         for number, order in enumerate(ORDERS):
-            for judgement in self.answers[number]:
-                if judgement is None:
+            for result in self.answers[number]:
+                if result is None:
                     continue
-                assert (judgement.status in TAKEN) == (order in orders), f"{judgement}, committed: {orders}"
+                assert (result.status in ACCEPTED) == (order in orders), f"{result}, committed: {orders}"
         repeated = [list[OrderResult | None](), list[OrderResult | None]()]
         for number, order in enumerate(ORDERS):
             self.replicas["c:1"].call(order, self.now, 3.0, repeated[number].append)
         self._flush("c:1")
         self._run_until(lambda: bool(repeated[0] and repeated[1]), 4.0)
-        verdicts = [answers[0].status if answers and answers[0] else None for answers in repeated]
-        assert sorted(verdict in TAKEN for verdict in verdicts) == [False, True], f"repeated: {verdicts}"
-        assert OrderStatus.CONFLICT in verdicts, f"repeated: {verdicts}"
+        statuses = [answers[0].status if answers and answers[0] else None for answers in repeated]
+        assert sorted(status in ACCEPTED for status in statuses) == [False, True], f"repeated: {statuses}"
+        assert OrderStatus.CONFLICT in statuses, f"repeated: {statuses}"
         for address, replica in self.replicas.items():
             assert replica.log.state.revision == 1, f"{address} has not applied the change"
 
--- a/tests/cluster/mutations.py
+++ b/tests/cluster/mutations.py
@@ -69,8 +69,8 @@
     Mutation(
         "a refused call stays refused",
         "pebbledrift/chain/requests.py",
-        "self._refused.get(message.call) or self._judge(message.order)",
-        "self._judge(message.order)",
+        "self._refused.get(message.call) or self._evaluate(message.order)",
+        "self._evaluate(message.order)",
         WORST,
         "comes_late",
     ),
--- a/tests/cluster/operators.py
+++ b/tests/cluster/operators.py
@@ -14,7 +14,7 @@
 from pebbledrift.control.orders import Order, OrderKind, OrderStatus
 from tests.cluster import linearizability
 from tests.cluster.linearizability import is_linearizable
-from tests.cluster.simulation import TAKEN, Call, Cluster
+from tests.cluster.simulation import ACCEPTED, Call, Cluster
 
 # Maps the revision in force to the one after an operation, or to None if the operation is impossible there.
 Transition = Callable[[int], int | None]
@@ -44,8 +44,8 @@
 
     order: Order | None
     revision: int  # revision of the order, or the revision that the read returned
-    begun: float
-    ended: float | None = None
+    started_at: float
+    ended_at: float | None = None
     status: int | None = None  # None: no clear answer, so an order may or may not be in force
 
 
@@ -129,7 +129,7 @@
             return
         answered = False
         if operation.order is None:
-            operation.begun = self.cluster.now  # each attempt of a read counts as a separate read
+            operation.started_at = self.cluster.now  # each attempt of a read counts as a separate read
 
         def next_attempt() -> None:
             nonlocal answered
@@ -142,11 +142,11 @@
             nonlocal answered
             if answered:
                 return
-            if call.judgement is None or self.random.random() < self.ack_lost:
+            if call.result is None or self.random.random() < self.ack_lost:
                 self.cluster.at(self.cluster.now + RETRY_PAUSE_S, next_attempt)
                 return
             answered = True
-            operation.ended, operation.status = self.cluster.now, call.judgement.status
+            operation.ended_at, operation.status = self.cluster.now, call.result.status
             if operation.order is None:
                 operation.revision = call.revision
             self._record_acknowledgement(operation)
@@ -164,7 +164,7 @@
         return self._acknowledged[index - 1][1] if index else 0
 
     def _record_acknowledgement(self, operation: Operation) -> None:
-        if operation.status in TAKEN:
+        if operation.status in ACCEPTED:
             newest = self._acknowledged[-1][1] if self._acknowledged else 0
             self._acknowledged.append((self.cluster.now, max(newest, operation.revision)))
 
@@ -176,7 +176,7 @@
                 continue
             if operation.order is None:
                 self._check_read(operation, committed)
-            elif operation.status in TAKEN:
+            elif operation.status in ACCEPTED:
                 assert operation.order.digest in committed, f"acknowledged but never in force: {operation}"
             else:
                 self._check_refusal(operation, committed)
@@ -188,13 +188,13 @@
         for operation in self.history:
             if operation.order is None:
                 apply = read_result(operation.revision)
-            elif operation.status in TAKEN or operation.status is None:
+            elif operation.status in ACCEPTED or operation.status is None:
                 apply = accepted_change(operation.order.base, operation.revision)
             else:
                 apply = refused_change(operation.order.base, operation.revision)
             if operation.order is not None or operation.status is not None:
-                ended = operation.ended if operation.status is not None else None
-                operations.append(linearizability.Operation(operation.begun, ended, apply))
+                ended_at = operation.ended_at if operation.status is not None else None
+                operations.append(linearizability.Operation(operation.started_at, ended_at, apply))
         return operations
 
     def _committed_revisions(self) -> dict[bytes, int]:
@@ -211,17 +211,17 @@
         return revisions
 
     def _check_read(self, read: Operation, committed: dict[bytes, int]) -> None:
-        newest = self.newest_acknowledged(read.begun)
+        newest = self.newest_acknowledged(read.started_at)
         assert read.revision >= newest, f"read {read.revision}, but {newest} was acknowledged before: {read}"
         assert read.revision in {0, *committed.values()}, f"read a revision that was never in force: {read}"
 
     def _check_refusal(self, refused: Operation, committed: dict[bytes, int]) -> None:
         order = refused.order
-        assert order is not None and refused.ended is not None
+        assert order is not None and refused.ended_at is not None
         assert order.digest not in committed, f"refused and in force: {refused}"
         if refused.status == OrderStatus.INVALID:
             return
-        newest = self.newest_acknowledged(refused.begun)
+        newest = self.newest_acknowledged(refused.started_at)
         others = [
             o
             for o in self.history
@@ -230,5 +230,5 @@
             and o is not refused
             and o.revision > newest
         ]
-        overtaken = any(o.begun < refused.ended for o in others)
+        overtaken = any(o.started_at < refused.ended_at for o in others)
         assert newest != order.base or overtaken, f"refused although its base was in force: {refused}"
--- a/tests/cluster/plays.py
+++ b/tests/cluster/plays.py
@@ -11,7 +11,7 @@
 
 def status_of(call: Call) -> int | None:
     """The OrderStatus that answers a call; None without a clear answer."""
-    return None if call.judgement is None else call.judgement.status
+    return None if call.result is None else call.result.status
 
 
 def head_of(cluster: Cluster) -> str:
--- a/tests/cluster/relay_replicas.py
+++ b/tests/cluster/relay_replicas.py
@@ -97,8 +97,8 @@
         """Submit a change; the time of its acknowledgement is appended to the returned list."""
         acknowledged: list[float] = []
 
-        def done(judgement: OrderResult | None) -> None:
-            if judgement is not None and judgement.status == OrderStatus.ACCEPTED:
+        def done(result: OrderResult | None) -> None:
+            if result is not None and result.status == OrderStatus.ACCEPTED:
                 acknowledged.append(self.fabric.now)
 
         self.replica.call(change(revision, base), self.fabric.now, CALL_TIMEOUT_S, done)
--- a/tests/cluster/scenario.py
+++ b/tests/cluster/scenario.py
@@ -109,8 +109,8 @@
 
     def _expect(self, tokens: list[str]) -> None:
         if tokens[0] in self._calls:
-            judgement = self._calls[tokens[0]].judgement
-            status = None if judgement is None else judgement.status
+            result = self._calls[tokens[0]].result
+            status = None if result is None else result.status
             assert status in STATUSES[tokens[1]], f"the status is {status}"
             return
         replica = self.cluster.replicas[_address(tokens[0])]
@@ -127,9 +127,7 @@
     def _consistent(self) -> None:
         accepted = [order.base for order in set(self.cluster.acknowledged())]
         assert len(accepted) == len(set(accepted)), "two changes were accepted on one base"
-        refused = [
-            c for c in self.cluster.calls if c.judgement and c.judgement.status == OrderStatus.CONFLICT
-        ]
+        refused = [c for c in self.cluster.calls if c.result and c.result.status == OrderStatus.CONFLICT]
         for replica in self.cluster.replicas.values():
             in_force = [c for c in refused if c.order and c.order.digest in replica.log.state.accepted]
             assert not in_force, f"refused and in force: {in_force[0].order}"
--- a/tests/cluster/simulated_network.py
+++ b/tests/cluster/simulated_network.py
@@ -112,7 +112,7 @@
     # faults
 
     def cut(self, pairs: Iterable[Pair]) -> None:
-        """Queues messages on cut links. After SILENCE_S the connection closes and the queue is lost."""
+        """Queues messages on cut links. After MAX_SILENCE_S the connection closes and the queue is lost."""
         for sender, receiver in pairs:
             link = self.link(sender, receiver)
             if sender != receiver and link.cut_since is None:
--- a/tests/cluster/simulation.py
+++ b/tests/cluster/simulation.py
@@ -29,7 +29,7 @@
 CONNECT_S = 0.05  # delay between a start and the connections to the others
 MAX_LOG_BYTES = 4096  # small, so that every scenario writes slots, which are rare in production
 DIRECTORY = Path("disk")
-TAKEN = (OrderStatus.ACCEPTED, OrderStatus.ALREADY_ACCEPTED)
+ACCEPTED = (OrderStatus.ACCEPTED, OrderStatus.ALREADY_ACCEPTED)
 
 
 @dataclass
@@ -62,8 +62,8 @@
     order: Order | None
     started_at: float
     at: str
-    ended: float | None = None
-    judgement: OrderResult | None = None
+    ended_at: float | None = None
+    result: OrderResult | None = None
     revision: int = 0
 
 
@@ -74,12 +74,12 @@
         self,
         addresses: Iterable[str],
         seed: int = 1,
-        tolerated: int = 1,
+        tolerated_failures: int = 1,
         catch_up_s: float = 4.0,
         diskless: Iterable[str] = (),
     ) -> None:
         self.random = random.Random(seed)
-        self.tolerated, self.catch_up_s = tolerated, catch_up_s
+        self.tolerated_failures, self.catch_up_s = tolerated_failures, catch_up_s
         self.now = 0.0
         self.seeds = tuple(addresses)
         self.zone_of: Callable[[str], str] = lambda address: ""
@@ -149,7 +149,7 @@
             node=identity.node,
             incarnation=self._incarnation,
             eligible=address not in self.diskless,
-            tolerated_failures=self.tolerated,
+            tolerated_failures=self.tolerated_failures,
             contact_addresses=self.seeds
             if founder
             else tuple(self.processes) or self.seeds,  # as an operator's list
@@ -385,25 +385,25 @@
         self.calls.append(call)
         process = self.processes.get(at)
         if process is None:
-            call.ended = self.now
+            call.ended_at = self.now
             return call
 
-        def ended(judgement: OrderResult | None) -> None:
-            call.ended, call.judgement = self.now, judgement
+        def finish(result: OrderResult | None) -> None:
+            call.ended_at, call.result = self.now, result
             call.revision = process.replica.log.state.revision
             if on_done is not None:
                 on_done(call)
 
         def submit() -> None:
-            process.replica.call(order, self.now, timeout_s, ended)
+            process.replica.call(order, self.now, timeout_s, finish)
             self._flush(process)
 
         self._when_awake(process, submit)
         return call
 
     def acknowledged(self) -> list[Order]:
-        """The orders that were acknowledged as taken."""
-        return [c.order for c in self.calls if c.order and c.judgement and c.judgement.status in TAKEN]
+        """The orders that were acknowledged as accepted."""
+        return [c.order for c in self.calls if c.order and c.result and c.result.status in ACCEPTED]
 
     def check_kept(self, state_at: str) -> None:
         """Asserts that the state at an address contains every acknowledged order."""
--- a/tests/cluster/test_chain.py
+++ b/tests/cluster/test_chain.py
@@ -13,9 +13,9 @@
 THREE = ("a:1", "b:1", "c:1")
 
 
-def verdict(call: object) -> int | None:
-    judgement = getattr(call, "judgement")  # noqa: B009
-    return None if judgement is None else judgement.status
+def status_of(call: object) -> int | None:
+    result = getattr(call, "result")  # noqa: B009
+    return None if result is None else result.status
 
 
 def test_a_change_is_accepted_at_any_keeper() -> None:
@@ -24,7 +24,7 @@
     for number, address in enumerate(THREE, start=1):
         call = cluster.order(address, change(number, number - 1))
         cluster.run(0.3)
-        assert verdict(call) == OrderStatus.ACCEPTED
+        assert status_of(call) == OrderStatus.ACCEPTED
     assert {r.log.state.revision for r in cluster.replicas.values()} == {3}
 
 
@@ -35,8 +35,8 @@
     cluster.run(0.3)
     repeated, other = cluster.order("b:1", change(5, 0)), cluster.order("c:1", change(6, 0, "other"))
     cluster.run(0.3)
-    assert verdict(repeated) in (OrderStatus.ACCEPTED, OrderStatus.ALREADY_ACCEPTED)
-    assert verdict(other) == OrderStatus.CONFLICT
+    assert status_of(repeated) in (OrderStatus.ACCEPTED, OrderStatus.ALREADY_ACCEPTED)
+    assert status_of(other) == OrderStatus.CONFLICT
 
 
 @pytest.mark.parametrize("lost", THREE)
@@ -70,7 +70,7 @@
     cluster.run(2.0)
     call = cluster.order("d:1", change(2, 1))
     cluster.run(1.0)
-    assert verdict(call) == OrderStatus.ACCEPTED
+    assert status_of(call) == OrderStatus.ACCEPTED
 
 
 @pytest.mark.parametrize("kind", [Prepare, Promise, Accept, Accepted])
@@ -108,7 +108,7 @@
     cluster.check_kept("c:1")
     call = cluster.order("b:1", change(2, 1))
     cluster.run(0.5)
-    assert verdict(call) == OrderStatus.ACCEPTED
+    assert status_of(call) == OrderStatus.ACCEPTED
 
 
 def test_a_member_with_a_stalled_disk_leaves_the_chain() -> None:
@@ -117,7 +117,7 @@
     cluster.disks["b:1"].stalled_until = cluster.now + 5.0
     call = cluster.order("a:1", change(1, 0))
     cluster.run(2.0)
-    assert verdict(call) == OrderStatus.ACCEPTED
+    assert status_of(call) == OrderStatus.ACCEPTED
     cluster.run(6.0)
     assert cluster.replicas["b:1"].log.state.revision == 1
     view = cluster.replicas["b:1"].agreement.view
@@ -131,7 +131,7 @@
     cluster.run(1.5)
     accepted = cluster.order("b:1", change(1, 0))
     cluster.run(1.0)
-    assert verdict(accepted) == OrderStatus.ACCEPTED
+    assert status_of(accepted) == OrderStatus.ACCEPTED
     cluster.wipe("b:1")
     cluster.kill("c:1", power=True)
     cluster.heal()
@@ -139,7 +139,7 @@
     cluster.run(3.0)
     stale, read = cluster.order("a:1", change(9, 0)), cluster.order("b:1", None)
     cluster.run(4.0)
-    assert verdict(stale) is None and verdict(read) is None
+    assert status_of(stale) is None and status_of(read) is None
     cluster.start("c:1")
     cluster.run(4.0)
     cluster.check_kept("a:1")
@@ -189,7 +189,7 @@
     accepted = [order.base for order in set(cluster.acknowledged())]
     assert len(accepted) == len(set(accepted)), "two changes acknowledged on one base"
     assert len(accepted) > 10
-    refused = [c for c in cluster.calls if c.judgement and c.judgement.status == OrderStatus.CONFLICT]
+    refused = [c for c in cluster.calls if c.result and c.result.status == OrderStatus.CONFLICT]
     applied = cluster.replicas["a:1"].log.state.accepted
     assert not [c for c in refused if c.order and c.order.digest in applied], "a refused change is in force"
     final = cluster.order("b:1", None)
--- a/tests/cluster/test_lending.py
+++ b/tests/cluster/test_lending.py
@@ -78,7 +78,7 @@
     lender.on_commit(1, True, CONFIG, 0.0)
     lender.add_report("a", TokenReport(1, 60.0, (("t", (0.0, 800.0)),)), 2, 0.1)
     lender.add_report("b", TokenReport(1, 60.0, ()), 2, 1.9)
-    assert borrow(lender, 5000.0, 1.9) == 1600.0, "tokens taken 2.5 s before have been refilled"
+    assert borrow(lender, 5000.0, 1.9) == 1600.0, "tokens spent 2.5 s before have been refilled"
     assert lender.status(1.9)["t"]["lent"] == 2400.0
 
 
--- a/tests/cluster/test_linearizability.py
+++ b/tests/cluster/test_linearizability.py
@@ -8,7 +8,7 @@
 from tests.cluster.operators import accepted_change, read_result, refused_change
 
 
-def taken(started_at: float, ended_at: float | None, base: int, revision: int) -> Operation[int]:
+def accepted(started_at: float, ended_at: float | None, base: int, revision: int) -> Operation[int]:
     return Operation(started_at, ended_at, accepted_change(base, revision))
 
 
@@ -23,12 +23,12 @@
 @pytest.mark.parametrize(
     "history",
     [
-        [taken(0, 1, 0, 1), read(2, 3, 1), taken(4, 5, 1, 2), read(6, 7, 2)],
-        [taken(0, 9, 0, 1), read(1, 2, 0), read(3, 4, 1)],
-        [taken(0, None, 0, 1), read(1, 2, 0), read(30, 40, 1)],
-        [taken(0, None, 0, 1), taken(0, 2, 0, 1), read(3, 4, 1)],
-        [taken(0, 1, 0, 1), refused(2, 3, 0, 2), taken(4, 5, 1, 2)],
-        [taken(0, 8, 0, 1), taken(1, 9, 1, 2), read(2, 3, 2), refused(2, 5, 0, 3)],
+        [accepted(0, 1, 0, 1), read(2, 3, 1), accepted(4, 5, 1, 2), read(6, 7, 2)],
+        [accepted(0, 9, 0, 1), read(1, 2, 0), read(3, 4, 1)],
+        [accepted(0, None, 0, 1), read(1, 2, 0), read(30, 40, 1)],
+        [accepted(0, None, 0, 1), accepted(0, 2, 0, 1), read(3, 4, 1)],
+        [accepted(0, 1, 0, 1), refused(2, 3, 0, 2), accepted(4, 5, 1, 2)],
+        [accepted(0, 8, 0, 1), accepted(1, 9, 1, 2), read(2, 3, 2), refused(2, 5, 0, 3)],
     ],
     ids=[
         "sequential",
@@ -46,12 +46,12 @@
 @pytest.mark.parametrize(
     "history",
     [
-        [taken(0, 1, 0, 1), read(2, 3, 0)],
-        [taken(0, 9, 0, 1), read(1, 2, 1), read(3, 4, 0)],
-        [taken(0, 1, 0, 1), taken(0, 1, 0, 2)],
-        [refused(0, 1, 0, 1), taken(2, 3, 0, 1)],
-        [taken(2, None, 0, 1), read(0, 1, 1)],
-        [taken(0, None, 0, 1), read(1, 2, 1), read(3, 4, 0)],
+        [accepted(0, 1, 0, 1), read(2, 3, 0)],
+        [accepted(0, 9, 0, 1), read(1, 2, 1), read(3, 4, 0)],
+        [accepted(0, 1, 0, 1), accepted(0, 1, 0, 2)],
+        [refused(0, 1, 0, 1), accepted(2, 3, 0, 1)],
+        [accepted(2, None, 0, 1), read(0, 1, 1)],
+        [accepted(0, None, 0, 1), read(1, 2, 1), read(3, 4, 0)],
     ],
     ids=[
         "stale read",
--- a/tests/cluster/test_router_parts.py
+++ b/tests/cluster/test_router_parts.py
@@ -168,9 +168,9 @@
     clock.advance(0.5)
     report = budgets.report(4)
     assert (report.epoch, report.age_s) == (4, 0.5)
-    assert report.taken[0][0] == "t" and report.taken[0][1][:3] == (0.0, 120.0, 0.0)
+    assert report.spent[0][0] == "t" and report.spent[0][1][:3] == (0.0, 120.0, 0.0)
     clock.advance(60.0)
-    assert sum(budgets.report(4).taken[0][1]) == 0.0
+    assert sum(budgets.report(4).spent[0][1]) == 0.0
 
 
 def test_a_grant_of_an_earlier_epoch_is_not_used(clock: Clock) -> None:
@@ -267,7 +267,7 @@
             budgets.granted(TokenGrant(lender.requests.pop().number, 3, "t", 20.0, 0.0))
         clock.advance(0.1)
     lender.reachable = False
-    clock.advance(2.0)  # loans taken in advance have expired
+    clock.advance(2.0)  # loans granted in advance have expired
     spent = 0.0
     for _ in range(200):
         decisions: list[float | None] = []
--- a/tests/cluster/test_slow_links.py
+++ b/tests/cluster/test_slow_links.py
@@ -145,7 +145,7 @@
 
 def test_transfer_continues_when_its_source_is_gone() -> None:
     """The member that sends a snapshot dies during the transfer; the chain does not wait for it."""
-    cluster = Cluster((*THREE, "d:1", "e:1"), tolerated=2, catch_up_s=6.0)
+    cluster = Cluster((*THREE, "d:1", "e:1"), tolerated_failures=2, catch_up_s=6.0)
     cluster.run(2.0)
     cluster.order("a:1", order_of(1, random.Random(1).randbytes(500_000).hex()))
     cluster.run(1.0)
--- a/tests/cluster/test_workers.py
+++ b/tests/cluster/test_workers.py
@@ -47,7 +47,7 @@
         network,  # type: ignore[arg-type]
         1.2,
         InstanceStore(folder),
-        lambda news: None,
+        lambda update: None,
         lambda addresses: 2 * len(addresses) > voters,
         incarnation,
     )
@@ -166,7 +166,7 @@
     async def scenario() -> None:
         network = Network()
         tracker = make_tracker(network, tmp_path)
-        news = NumberedUpdate(7, 9, (instance("draining", 2),))
+        update = NumberedUpdate(7, 9, (instance("draining", 2),))
         done = asyncio.Event()
 
         def receive(message: Any) -> None:
@@ -174,7 +174,7 @@
             done.set()
 
         network.reached[OTHER] = receive
-        tracker.on_keeper_message(OTHER, news)
+        tracker.on_keeper_message(OTHER, update)
         assert not network.sent
         async with asyncio.timeout(WAIT_S):
             await done.wait()
--- a/tests/cluster/test_worst_days.py
+++ b/tests/cluster/test_worst_days.py
@@ -11,7 +11,7 @@
 
 from pebbledrift.control.orders import OrderStatus
 from tests.cluster.plays import SLOW, THREE, chain_of, head_of, hold, status_of, submit_change, tail_of
-from tests.cluster.simulation import TAKEN, Call, Cluster, Process, change
+from tests.cluster.simulation import ACCEPTED, Call, Cluster, Process, change
 
 # 1: cut off, or standing still, for a while
 
@@ -69,7 +69,7 @@
 
     None where the head has promised itself a chain of those that fell silent last, and judges nothing.
     """
-    cluster = Cluster((*THREE, "d:1", "e:1"), seed, tolerated=2)
+    cluster = Cluster((*THREE, "d:1", "e:1"), seed, tolerated_failures=2)
     cluster.run(2.0)
     submit_change(cluster, "a:1", 1, 0)
     head, second, third, fourth, fifth = chain_of(cluster, "a:1")
@@ -93,7 +93,7 @@
 def test_a_refusal_of_an_epoch_that_is_over_is_not_answered() -> None:
     refused = [call for seed in range(10) if (call := refused_after_a_cut(seed)) is not None]
     assert refused
-    wrong = [call for call in refused if status_of(call) not in (None, *TAKEN)]
+    wrong = [call for call in refused if status_of(call) not in (None, *ACCEPTED)]
     assert not wrong, "2 is in force, and a change on it was refused"
 
 
@@ -130,7 +130,7 @@
     for revision in range(1, 80):
         cluster.order(THREE[revision % 3], change(revision, revision - 1))
         cluster.run(0.02)
-    told = max(c.revision for c in cluster.calls if status_of(c) in TAKEN)
+    told = max(c.revision for c in cluster.calls if status_of(c) in ACCEPTED)
     for address in THREE:
         cluster.kill(address, power=True)
     low: list[int] = []
@@ -165,7 +165,7 @@
     cluster.run(0.04)
     call = cluster.order("d:1", change(3, 2))
     cluster.run(3.0)
-    assert status_of(call) in (None, *TAKEN)
+    assert status_of(call) in (None, *ACCEPTED)
     assert cluster.replicas["a:1"].log.state.revision == 3
 
 
@@ -190,8 +190,8 @@
     first = cluster.order("a:1", change(1, 0, "one"))
     second = cluster.order("b:1", change(1, 0, "another"))
     cluster.run(1.0)
-    assert sorted([status_of(first) in TAKEN, status_of(second) in TAKEN]) == [False, True]
-    order = first.order if status_of(first) in TAKEN else second.order
+    assert sorted([status_of(first) in ACCEPTED, status_of(second) in ACCEPTED]) == [False, True]
+    order = first.order if status_of(first) in ACCEPTED else second.order
     submit_change(cluster, "c:1", 2, 1)
     for address in THREE:
         cluster.kill(address, power=True)
@@ -199,7 +199,7 @@
     cluster.run(3.0)
     again = [cluster.order(address, order) for address in THREE]
     cluster.run(1.0)
-    assert all(status_of(call) in TAKEN for call in again)
+    assert all(status_of(call) in ACCEPTED for call in again)
     assert cluster.replicas["a:1"].log.state.revision == 2, "what was taken before changes nothing"
 
 
--- a/tests/cluster/worst_days.py
+++ b/tests/cluster/worst_days.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from tests.cluster.operators import Operators
-from tests.cluster.simulation import TAKEN, Cluster, Process
+from tests.cluster.simulation import ACCEPTED, Cluster, Process
 
 MACHINES = tuple(f"{letter}:1" for letter in "abcdefgh")  # with a disk; the first of them found
 DISKLESS = ("x:1", "y:1")
@@ -360,7 +360,7 @@
             order = self.operators.make_order(base + 1, base)
             operation = self.operators.send(order, base + 1)
             self.cluster.run(ACK_S)
-            if operation.status in TAKEN:
+            if operation.status in ACCEPTED:
                 return
             read = self.operators.read()
             self.cluster.run(ACK_S)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -13,7 +13,7 @@
     "spoolpier".split()
 )
 DEPLOYMENTS = ("akl", "masa", "pinehollow", "ankara", "concord", "kyushu", "riga", "ticket", "board-view")
-MOST_LINES = 400  # of one module
+MAX_MODULE_LINES = 400  # of one module
 
 
 def imported(source: str) -> set[str]:
@@ -62,7 +62,7 @@
     } <= names
     for path in decisions():
         if path.stem != "interface":  # types alone
-            assert len(path.read_text().splitlines()) <= MOST_LINES, path
+            assert len(path.read_text().splitlines()) <= MAX_MODULE_LINES, path
 
 
 def test_the_module_names_its_interface_and_no_deployment() -> None:
