--- a/tests/cluster/drawn.py
+++ b/tests/cluster/drawn.py
@@ -1,8 +1,8 @@
-"""Scenarios drawn from a seed, and what is left of one that fails when all that does not matter is left out.
+"""Scenarios generated from a seed, and the reduction of a failing one to the lines that cause the failure.
 
     python -m tests.cluster.drawn --seeds 10000 [--first N] [--processes P]
 
-plays them and prints the shortest form of each that fails, to be kept as a file among the scenarios.
+runs them and prints a reduced form of each failing one, to be kept as a scenario file.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 ROUNDS = 6
 LETTERS = "ABCDEFGHIJKLMNOP"
 SIZES = (3, 3, 3, 4, 5, 6)
-ORDERS_MOST = 4
-Play = Callable[[str, int], None]
+MAX_ORDERS = 4
+ScenarioRunner = Callable[[str, int], None]
 
 
-class _Draw:
-    """Draws one scenario: one machine at a time is in trouble, or all lose their processes at once."""
+class _ScenarioGenerator:
+    """Generates one scenario: one machine at a time has a fault, or all lose power at once."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -34,32 +34,32 @@
         self.orders = 0
 
     def text(self) -> str:
-        """The whole scenario."""
+        """Generates the text of the whole scenario."""
         for _ in range(ROUNDS):
-            self._round()
+            self._add_round()
         self.lines.append("consistent")
-        self._order(self.random.choice(self.members))
+        self._add_order(self.random.choice(self.members))
         self.lines += ["run 2", f"expect o{self.orders} taken"]
         return "\n".join(self.lines) + "\n"
 
-    def _round(self) -> None:
+    def _add_round(self) -> None:
         victim = self.random.choice(self.members)
-        down = self._trouble(victim)
-        for _ in range(self.random.randrange(ORDERS_MOST + 1)):
+        down = self._add_fault(victim)
+        for _ in range(self.random.randrange(MAX_ORDERS + 1)):
             for at in self.random.sample(self.members, self.random.choice((1, 1, 2))):
-                self._order(at)
-            self._run(self.random.choice((0.0, 0.001, 0.01, 0.3)))
-        self._run(self.random.uniform(0.0, 3.0))
+                self._add_order(at)
+            self._add_run(self.random.choice((0.0, 0.001, 0.01, 0.3)))
+        self._add_run(self.random.uniform(0.0, 3.0))
         if self.random.random() < 0.15:
             self.lines += [f"power {letter}" for letter in self.members if letter not in down]
             down = list(self.members)
         self.lines += ["heal", "loss 0"]
         self.lines += [f"begin {letter}" for letter in down]
-        self._run(self.random.uniform(5.0, 8.0))
+        self._add_run(self.random.uniform(5.0, 8.0))
         self.lines += [f"kept {letter}" for letter in self.members]
 
-    def _trouble(self, victim: str) -> list[str]:
-        """Bring trouble on one machine; returns those that have to be started again."""
+    def _add_fault(self, victim: str) -> list[str]:
+        """Append a random fault of one machine; returns the machines to be started again."""
         kind = self.random.choice(("kill", "power", "wipe", "cut", "stall", "loss", "replace", "none"))
         if kind in ("kill", "power", "wipe"):
             self.lines.append(f"{kind} {victim}")
@@ -78,28 +78,28 @@
             self.members[self.members.index(victim)] = successor
         return []
 
-    def _order(self, at: str) -> None:
+    def _add_order(self, at: str) -> None:
         self.orders += 1
         self.lines.append(f"order o{self.orders} at {at}: next")
 
-    def _run(self, seconds: float) -> None:
+    def _add_run(self, seconds: float) -> None:
         self.lines.append(f"run {seconds:.3f}")
 
 
 def draw(seed: int) -> str:
-    """The scenario of a seed."""
-    return _Draw(seed).text()
+    """Returns the text of the scenario generated from a seed."""
+    return _ScenarioGenerator(seed).text()
 
 
-def play(text: str, seed: int) -> None:
-    """Play a scenario; raises AssertionError where something does not hold."""
+def run(text: str, seed: int) -> None:
+    """Run a scenario; raises AssertionError if a check fails."""
     Scenario(seed).play(text)
 
 
-def fails(text: str, seed: int, player: Play = play) -> bool:
-    """Whether something does not hold; what cannot be played, as its start was left out, does not count."""
+def fails(text: str, seed: int, runner: ScenarioRunner = run) -> bool:
+    """Whether a check fails; a scenario that cannot run, such as one without a start line, does not count."""
     try:
-        player(text, seed)
+        runner(text, seed)
     except AssertionError:
         return True
     except (KeyError, ValueError, IndexError):
@@ -107,43 +107,43 @@
     return False
 
 
-def shrink(text: str, seed: int, player: Play = play) -> str:
-    """Leave out lines, many at once and then single ones, as long as the scenario still fails."""
+def shrink(text: str, seed: int, runner: ScenarioRunner = run) -> str:
+    """Remove blocks of lines, then single lines, as long as the scenario still fails."""
     lines = text.splitlines()
     size = max(1, len(lines) // 2)
     while size >= 1:
-        at = 0
-        while at < len(lines):
-            shorter = lines[:at] + lines[at + size :]
-            if fails("\n".join(shorter), seed, player):
+        start = 0
+        while start < len(lines):
+            shorter = lines[:start] + lines[start + size :]
+            if fails("\n".join(shorter), seed, runner):
                 lines = shorter
             else:
-                at += size
+                start += size
         size //= 2
     return "\n".join(lines) + "\n"
 
 
-def attempt(seed: int) -> str | None:
-    """The shortest form of a seed's scenario, if it fails."""
+def reduced_failure(seed: int) -> str | None:
+    """Returns the reduced scenario of a seed, or None if the scenario passes."""
     text = draw(seed)
     return shrink(text, seed) if fails(text, seed) else None
 
 
 def main() -> int:
-    """Play many seeds on several processes."""
-    parser = argparse.ArgumentParser(description="Plays scenarios of the control state drawn from seeds.")
+    """Run the scenarios of many seeds on several processes."""
+    parser = argparse.ArgumentParser(description="Runs scenarios of the control state generated from seeds.")
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--processes", type=int, default=4)
-    chosen = parser.parse_args()
-    seeds = range(chosen.first, chosen.first + chosen.seeds)
+    arguments = parser.parse_args()
+    seeds = range(arguments.first, arguments.first + arguments.seeds)
     failed = 0
-    with multiprocessing.Pool(chosen.processes) as pool:
-        for seed, shortest in zip(seeds, pool.imap(attempt, seeds, chunksize=4), strict=True):
-            if shortest is not None:
+    with multiprocessing.Pool(arguments.processes) as pool:
+        for seed, reduced in zip(seeds, pool.imap(reduced_failure, seeds, chunksize=4), strict=True):
+            if reduced is not None:
                 failed += 1
-                print(f"# seed {seed}\n{shortest}")
-    print(f"{len(seeds)} scenarios played, {failed} failed")
+                print(f"# seed {seed}\n{reduced}")
+    print(f"{len(seeds)} scenarios run, {failed} failed")
     return 1 if failed else 0
 
 
--- a/tests/cluster/test_drawn_days.py
+++ b/tests/cluster/test_drawn_days.py
@@ -1,4 +1,4 @@
-"""Plays that are drawn, and every order of events to a depth."""
+"""Generated fault plans, and every order of events up to a depth."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from tests.cluster.plays import THREE
 from tests.cluster.simulation import Cluster, change
 
-PLAYS, BATCHES = 15, 8
+PLANS_PER_BATCH, BATCHES = 15, 8
 
 
 @pytest.mark.parametrize("number", range(BATCHES))
-def test_drawn_worst_days_hold(number: int) -> None:
-    found = worst_days.batch(1_000_000 + number, PLAYS)
-    assert found.played >= PLAYS and not found.failures, found.failures[0]
+def test_drawn_fault_plans_hold(number: int) -> None:
+    result = worst_days.run_batch(1_000_000 + number, PLANS_PER_BATCH)
+    assert result.played >= PLANS_PER_BATCH and not result.failures, result.failures[0]
 
 
-def test_operators_find_what_is_no_register() -> None:
-    """The check itself: a read that goes back, and a refusal without a reason, are found."""
+def test_operators_detect_violations_of_a_register() -> None:
+    """Tests the checker: it detects a read of an old revision and a conflict without a cause."""
     cluster = Cluster(THREE)
     cluster.run(2.0)
     operators = Operators(cluster, lambda: list(THREE), 1)
@@ -41,11 +41,11 @@
         operators.check()
 
 
-def described(given: object) -> str:
-    if not isinstance(given, explorer.Losses):
-        return str(given)
-    replaced = f"{given.replaced.address} replaced, " if given.replaced is not None else ""
-    return f"{replaced}{given.explored.address} {'wiped' if given.explored.wiped else 'killed'}"
+def losses_id(parameter: object) -> str:
+    if not isinstance(parameter, explorer.Losses):
+        return str(parameter)
+    replaced = f"{parameter.replaced.address} replaced, " if parameter.replaced is not None else ""
+    return f"{replaced}{parameter.explored.address} {'wiped' if parameter.explored.wiped else 'killed'}"
 
 
 @pytest.mark.parametrize(
@@ -54,12 +54,12 @@
         *((losses, 7) for losses in explorer.SINGLE_LOSSES),
         *((losses, 3) for losses in explorer.LOSSES_DURING_REPLACEMENT),
     ],
-    ids=described,
+    ids=losses_id,
 )
 def test_explored_orders_of_events_hold(losses: explorer.Losses, depth: int) -> None:
-    played = 0
+    explored = 0
     for first in range(explorer.MAX_FIRST_EVENTS):
         count, failure = explorer.explore((depth, first, losses))
         assert not failure, failure
-        played += count
-    assert played > 20
+        explored += count
+    assert explored > 20
--- a/tests/cluster/test_slow_links.py
+++ b/tests/cluster/test_slow_links.py
@@ -172,19 +172,17 @@
     assert replica.settings.node in (replica.agreement.view.chain_nodes if replica.agreement.view else [])
 
 
-def trouble(
-    kind: str, machine: int, for_s: float, after_s: float = 0.0, other: int = 0
-) -> worst_days.Trouble:
-    return worst_days.Trouble(after_s, kind, machine, other, for_s)
+def trouble(kind: str, machine: int, for_s: float, after_s: float = 0.0, other: int = 0) -> worst_days.Fault:
+    return worst_days.Fault(after_s, kind, machine, other, for_s)
 
 
 @pytest.mark.parametrize(
     "play",
     [
-        worst_days.Play(
+        worst_days.FaultPlan(
             *(11026, 3, 1, 1, 4.0, SLOW, 20_000, 0, 2, 1.0, 0.6),
             (
-                worst_days.Loss(
+                worst_days.DiskLoss(
                     *(5, False, False, 1.77),
                     (
                         trouble("full", 2, 1.9),
@@ -195,27 +193,27 @@
                 ),
             ),
         ),
-        worst_days.Play(
+        worst_days.FaultPlan(
             *(65485, 5, 0, 1, 2.5, SLOW, 20_000, 0, 4, 0.05, 0.0),
-            (worst_days.Loss(7, False, False, 2.0, (trouble("power all", 4, 4.0),)),),
+            (worst_days.DiskLoss(7, False, False, 2.0, (trouble("power all", 4, 4.0),)),),
         ),
-        worst_days.Play(
+        worst_days.FaultPlan(
             *(1561574095, 3, 0, 1, 4.0, SLOW, 20_000, 0, 3, 0.3, 0.0),
             (
-                worst_days.Loss(1, True, False, 0.1, (trouble("minority", 3, 0.5, other=4),)),
-                worst_days.Loss(7, True, False, 0.5, ()),
-                worst_days.Loss(5, True, True, 1 / 3, ()),
-                worst_days.Loss(5, False, True, 1.9, ()),
+                worst_days.DiskLoss(1, True, False, 0.1, (trouble("minority", 3, 0.5, other=4),)),
+                worst_days.DiskLoss(7, True, False, 0.5, ()),
+                worst_days.DiskLoss(5, True, True, 1 / 3, ()),
+                worst_days.DiskLoss(5, False, True, 1.9, ()),
             ),
         ),
-        worst_days.Play(
+        worst_days.FaultPlan(
             *(1575183459, 3, 0, 1, 2.5, SLOW, 0, 150000, 1, 0.3, 0.0),
             (
-                worst_days.Loss(
+                worst_days.DiskLoss(
                     *(5, True, False, 0.1),
                     (),
                 ),
-                worst_days.Loss(
+                worst_days.DiskLoss(
                     *(5, True, True, 2.0),
                     (
                         trouble("minority", 0, 0.1, 0.209, 3),
@@ -224,7 +222,7 @@
                         trouble("power all", 7, 2.0, 1.042, 4),
                     ),
                 ),
-                worst_days.Loss(
+                worst_days.DiskLoss(
                     *(1, True, False, 0.1),
                     (
                         trouble("freeze", 0, 2.0, 1.0, 4),
@@ -233,7 +231,7 @@
                         trouble("reset", 5, 0.1, 0.0, 7),
                     ),
                 ),
-                worst_days.Loss(
+                worst_days.DiskLoss(
                     *(4, True, True, 1.235),
                     (),
                 ),
@@ -242,8 +240,8 @@
     ],
     ids=["late-promises", "five-members", "calls-resent", "large-state"],
 )
-def test_slow_links_do_not_cause_repeated_view_changes(play: worst_days.Play) -> None:
-    player = worst_days.Player(play)
+def test_slow_links_do_not_cause_repeated_view_changes(play: worst_days.FaultPlan) -> None:
+    player = worst_days.FaultPlanRunner(play)
     player.run()
     epochs = [replica.link.epoch for replica in player.cluster.replicas.values()]
     assert max(epochs) < 40, f"{max(epochs)} views"
--- a/tests/cluster/test_worst_days.py
+++ b/tests/cluster/test_worst_days.py
@@ -1,6 +1,6 @@
-"""The operators' worst days in the model, each brought about; mutations.py takes the mechanisms out.
+"""Rare combinations of faults in the simulation; mutations.py checks that each mechanism is needed.
 
-Slow links are in test_slow_links.py, drawn and explored plays in test_drawn_days.py.
+Slow links are in test_slow_links.py, generated and explored fault sequences in test_drawn_days.py.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from tests.cluster.plays import SLOW, THREE, chain_of, head_of, hold, status_of, submit_change, tail_of
 from tests.cluster.simulation import TAKEN, Call, Cluster, Process, change
 
-# 1: cut off, or standing still, for a while
+# 1: a replica that is cut off or suspended for a while
 
 
-def test_a_head_that_stood_still_and_is_cut_off_stands_for_nothing() -> None:
-    """What its sockets held when it stood still says nothing of the time when it goes on."""
+def test_a_head_that_stood_still_and_is_cut_off_is_not_current() -> None:
+    """Messages buffered while the head was suspended are no evidence of its state after it resumes."""
     cluster = Cluster(THREE)
     cluster.run(2.0)
     submit_change(cluster, "a:1", 1, 0)
@@ -28,18 +28,18 @@
     cluster.cut_off(head, others)
     cluster.run(1.9)
     submit_change(cluster, others[0], 2, 1)
-    stood: list[float] = []
+    current_at: list[float] = []
 
     def watch(process: Process) -> None:
         if process.address == head and process.replica.current(cluster.now):
-            stood.append(cluster.now)
+            current_at.append(cluster.now)
 
     cluster.on_tick = watch
     cluster.run(4.0)
-    assert not stood, f"current on revision 1 at {stood[0]:.2f}"
+    assert not current_at, f"current on revision 1 at {current_at[0]:.2f}"
 
 
-def test_who_is_cut_off_reads_nothing_refuses_nothing_and_acknowledges_nothing() -> None:
+def test_a_replica_that_is_cut_off_answers_no_read_and_no_change() -> None:
     cluster = Cluster(THREE)
     cluster.run(2.0)
     submit_change(cluster, "a:1", 1, 0)
@@ -64,10 +64,11 @@
     assert cluster.replicas[head].log.state.revision == 2
 
 
-def refused_after_a_cut(seed: int) -> Call | None:
-    """A head that was cut off refuses by old state; its successor has the same place in a later chain.
+def refused_after_cut(seed: int) -> Call | None:
+    """A head that was cut off refuses by its old state; its successor has the same position in a later chain.
 
-    None where the head has promised itself a chain of those that fell silent last, and judges nothing.
+    Returns None if the head has itself promised a chain of the members that fell silent last: it then decides
+    nothing.
     """
     cluster = Cluster((*THREE, "d:1", "e:1"), seed, tolerated=2)
     cluster.run(2.0)
@@ -83,25 +84,26 @@
         cluster.kill(lost)
         cluster.run(1.5)
     assert chain_of(cluster, third) == [third, second, fourth]
-    judges = cluster.replicas[head].link.is_head
+    is_head = cluster.replicas[head].link.is_head
     cluster.heal()
     refused = cluster.order(head, change(3, 2))
     cluster.run(3.0)
-    return refused if judges else None
+    return refused if is_head else None
 
 
 def test_a_refusal_of_an_epoch_that_is_over_is_not_answered() -> None:
-    refused = [call for seed in range(10) if (call := refused_after_a_cut(seed)) is not None]
+    refused = [call for seed in range(10) if (call := refused_after_cut(seed)) is not None]
     assert refused
     wrong = [call for call in refused if status_of(call) not in (None, *TAKEN)]
-    assert not wrong, "2 is in force, and a change on it was refused"
+    assert not wrong, "revision 2 is in force, but a change based on it was refused"
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_who_promised_commits_nothing_more_in_the_epoch_before(seed: int) -> None:
-    """C comes back into the chain of A and B while changes go on.
+def test_a_member_that_promised_commits_nothing_more_in_the_epoch_before(seed: int) -> None:
+    """C rejoins the chain of A and B while changes continue.
 
-    Asked late, it has fetched what was committed after the others promised, and has the newest log.
+    If C is asked for its promise late, it has fetched entries that were committed after the others promised,
+    and has the newest log.
     """
     cluster = Cluster(THREE, seed)
     cluster.run(2.0)
@@ -124,34 +126,34 @@
         cluster.check_kept(address)
 
 
-def test_after_a_loss_of_all_power_nobody_stands_for_what_is_not_the_newest() -> None:
+def test_after_a_loss_of_all_power_only_replicas_with_the_newest_revision_are_current() -> None:
     cluster = Cluster(THREE, seed=4)
     cluster.run(2.0)
     for revision in range(1, 80):
         cluster.order(THREE[revision % 3], change(revision, revision - 1))
         cluster.run(0.02)
-    told = max(c.revision for c in cluster.calls if status_of(c) in TAKEN)
+    newest = max(c.revision for c in cluster.calls if status_of(c) in TAKEN)
     for address in THREE:
         cluster.kill(address, power=True)
-    low: list[int] = []
+    revisions: list[int] = []
 
     def watch(process: Process) -> None:
         if process.replica.current(cluster.now):
-            low.append(process.replica.log.state.revision)
+            revisions.append(process.replica.log.state.revision)
 
     cluster.on_tick = watch
     for address in THREE:
         cluster.start(address)
     cluster.run(4.0)
-    assert low and min(low) >= told
+    assert revisions and min(revisions) >= newest
 
 
-# 2: confirmed twice, or refused wrongly
+# 2: changes that are acknowledged twice or refused wrongly
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_next_process_does_not_get_an_answer_to_the_one_before(seed: int) -> None:
-    """A refusal waits at a tail whose disk is slow; it is not the answer to what is asked next."""
+def test_the_next_process_does_not_get_the_answer_to_a_call_of_the_previous_one(seed: int) -> None:
+    """A refusal delayed by a slow disk at the tail must not answer a call of the restarted process."""
     cluster = Cluster(THREE, seed, diskless=("d:1",))
     cluster.run(2.0)
     submit_change(cluster, "a:1", 1, 0)
@@ -175,7 +177,7 @@
     submit_change(cluster, "a:1", 1, 0)
     head = head_of(cluster)
     other = next(address for address in THREE if address != head)
-    cluster.network.hold(other, head, 0.4)  # the first copy comes 0.6 s from now, the second after 0.4 s
+    cluster.network.hold(other, head, 0.4)  # the first copy arrives 0.6 s from now, the second after 0.4 s
     early = cluster.order(other, change(9, 7))
     cluster.run(0.5)
     assert status_of(early) == OrderStatus.CONFLICT
@@ -184,7 +186,7 @@
     assert cluster.replicas[head].log.state.revision == 7
 
 
-def test_one_number_is_given_to_one_change_and_a_change_sent_again_is_taken_again() -> None:
+def test_a_revision_is_assigned_once_and_a_change_sent_again_is_accepted_again() -> None:
     cluster = Cluster(THREE)
     cluster.run(2.0)
     first = cluster.order("a:1", change(1, 0, "one"))
@@ -200,19 +202,21 @@
     again = [cluster.order(address, order) for address in THREE]
     cluster.run(1.0)
     assert all(status_of(call) in TAKEN for call in again)
-    assert cluster.replicas["a:1"].log.state.revision == 2, "what was taken before changes nothing"
+    assert (
+        cluster.replicas["a:1"].log.state.revision == 2
+    ), "a change that was accepted before was applied again"
 
 
-# 3: the next loss right after a repair
+# 3: another loss right after a repair
 
 
 @pytest.mark.parametrize("victim", ["a:1", "c:1", "d:1"])
 @pytest.mark.parametrize("catch_up_s", [2.5, 4.0, 6.0])
 @pytest.mark.parametrize("after_s", [0.2, 0.6, 1.0, 1.4, 1.8, 2.2, 2.6, 2.8])
-def test_a_newcomer_has_a_dead_members_place_before_the_next_loss(
+def test_a_newcomer_replaces_a_dead_member_before_the_next_loss(
     after_s: float, catch_up_s: float, victim: str
 ) -> None:
-    """B is gone for good, D comes; all lose power; the moment that this loss is over a disk is lost."""
+    """B is lost for good and D joins; all lose power, and a disk is lost right after the time to catch up."""
     cluster = Cluster(THREE, seed=2, catch_up_s=catch_up_s)
     cluster.run(2.0)
     submit_change(cluster, "a:1", 1, 0)
@@ -228,13 +232,13 @@
     cluster.run(catch_up_s + 0.02)
     cluster.wipe(victim)
     cluster.run(3.0)
-    left = [address for address in ("a:1", "c:1", "d:1") if address != victim]
-    submit_change(cluster, left[0], 2, 1)
-    cluster.check_kept(left[1])
+    remaining = [address for address in ("a:1", "c:1", "d:1") if address != victim]
+    submit_change(cluster, remaining[0], 2, 1)
+    cluster.check_kept(remaining[1])
 
 
 @pytest.mark.parametrize("after_s", [-0.1, 0.0, 0.1, 0.5])
-def test_a_newcomer_that_begins_before_the_dead_is_missed_takes_its_place(after_s: float) -> None:
+def test_a_newcomer_that_starts_before_the_dead_member_is_missed_replaces_it(after_s: float) -> None:
     cluster = Cluster(THREE, seed=7)
     cluster.run(2.0)
     submit_change(cluster, "a:1", 1, 0)
@@ -251,11 +255,11 @@
     cluster.run(4.0)
     view = cluster.replicas["a:1"].agreement.view
     assert view is not None and {node.partition("/")[0] for node in view.members} == {"a:1", "c:1", "d:1"}
-    assert sizes == {3}, "a newcomer came on top of a member that was gone"
+    assert sizes == {3}, "a new member was added instead of replacing the dead one"
 
 
 @pytest.mark.parametrize("victim", ["head", "tail", "newest"])
-def test_whoever_is_lost_next_the_others_hold_all(victim: str) -> None:
+def test_after_repeated_losses_the_remaining_members_hold_all(victim: str) -> None:
     cluster = Cluster(THREE, seed=3)
     cluster.run(2.0)
     submit_change(cluster, "a:1", 1, 0)
@@ -275,7 +279,7 @@
 
 
 def test_a_member_that_leaves_stays_until_enough_others_hold_all() -> None:
-    """The others' disks are slow: a process that ended at once would take one of two copies with it."""
+    """With slow disks at the others, a process that ended at once would remove one of only two copies."""
     cluster = Cluster(THREE, seed=5)
     cluster.run(2.0)
     submit_change(cluster, "a:1", 1, 0)
@@ -284,7 +288,7 @@
     cluster.disks["b:1"].stalled_until = cluster.now + 1.5
     cluster.leave("a:1")
     cluster.run(0.6)
-    assert "a:1" in cluster.processes, "it left while its promise was not replaced"
+    assert "a:1" in cluster.processes, "it left before enough other members held all entries"
     cluster.run(4.0)
     assert "a:1" not in cluster.processes
     view = cluster.replicas["b:1"].agreement.view
@@ -293,10 +297,12 @@
 
 @pytest.mark.parametrize("a_after_s", [0.0, 0.02, 0.05])
 @pytest.mark.parametrize("c_after_s", [0.0, 0.1, 0.2])
-def test_a_member_is_replaced_by_the_majorities_of_both_sides(c_after_s: float, a_after_s: float) -> None:
-    """A and B hold a change that C lacks; B is replaced by an empty one, and A is gone as soon as that began.
+def test_a_member_is_replaced_only_with_the_majorities_of_both_sides(
+    c_after_s: float, a_after_s: float
+) -> None:
+    """A and B hold a change that C lacks; B restarts empty as B', and A fails as soon as this begins.
 
-    {A, B} of A B C and {B', C} of A B' C have nobody in common: C and the new B must not go on by themselves.
+    {A, B} of A B C and {B', C} of A B' C have no member in common: C and B' must not continue without A.
     """
     cluster = Cluster(THREE, seed=6)
     cluster.run(2.0)
@@ -313,8 +319,8 @@
     cluster.run(c_after_s)
     epoch = cluster.replicas["a:1"].link.epoch
     cluster.start("c:1")
-    ended = cluster.now + 5.0
-    while cluster.replicas["a:1"].link.epoch == epoch and cluster.now < ended:
+    deadline = cluster.now + 5.0
+    while cluster.replicas["a:1"].link.epoch == epoch and cluster.now < deadline:
         cluster.run(0.005)
     cluster.run(a_after_s)
     cluster.kill("a:1", power=True)
@@ -330,7 +336,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_less_than_a_majority_of_the_chain_acknowledges_nothing(seed: int) -> None:
-    """A wants a chain with C, as B stands still; C is cut off meanwhile, and it is B that promises."""
+    """A proposes a chain with C because B is suspended; then C is cut off, and B promises instead of C."""
     cluster = Cluster(THREE, seed)
     cluster.run(2.0)
     submit_change(cluster, "a:1", 1, 0)
@@ -340,8 +346,8 @@
     cluster.cut_off(head, [third])
     cluster.run(0.45)
     call = cluster.order(head, change(2, 1))
-    ended = cluster.now + 3.0
-    while status_of(call) is None and cluster.now < ended:
+    deadline = cluster.now + 3.0
+    while status_of(call) is None and cluster.now < deadline:
         cluster.run(0.001)
     cluster.wipe(head)
     cluster.heal()
